--- a/benchlink/src/wire.rs
+++ b/benchlink/src/wire.rs
@@ -1,7 +1,7 @@
 //! The wire's events and actions, as arrays in JSON, to the library's and back.
 
 use onyxrock::PolicyEngine;
-use onyxrock::core::Names;
+use onyxrock::core::NameIndex;
 use onyxrock::interface::*;
 use onyxrock_config::settings;
 use serde_json::{Value, json};
@@ -38,7 +38,7 @@
 
 struct Instance {
     policy: PolicyEngine,
-    names: Names,
+    names: NameIndex,
     actions: Vec<Action>,
     touched: bool,
 }
@@ -124,20 +124,22 @@
 }
 
 fn read_event(
-    f: &Fields, names: &Names, sheets: &BTreeMap<u64, Vec<Value>>,
+    f: &Fields, names: &NameIndex, sheets: &BTreeMap<u64, Vec<Value>>,
 ) -> Result<Option<Event>, String> {
     Ok(Some(match f.name {
         "fleet" => return fleet(f, names, sheets).map(Some),
         "submit" => Event::Submit(submit(f, names)?),
         "answer" => Event::Outcome(answer(f)?),
         "gone" => Event::Withdrawn(MessageId(f.int(1, "xid")?)),
-        "tickDue" => Event::Wake,
-        "noteFrom" => Event::Note(from_hex(f.text(2, "data")?).ok_or_else(|| f.wrong("data", "hex digits"))?),
+        "tickDue" => Event::TimerFired,
+        "noteFrom" => {
+            Event::PeerHint(from_hex(f.text(2, "data")?).ok_or_else(|| f.wrong("data", "hex digits"))?)
+        }
         _ => return Ok(None),
     }))
 }
 
-fn fleet(f: &Fields, names: &Names, sheets: &BTreeMap<u64, Vec<Value>>) -> Result<Event, String> {
+fn fleet(f: &Fields, names: &NameIndex, sheets: &BTreeMap<u64, Vec<Value>>) -> Result<Event, String> {
     let kind = f.text(1, "kind")?;
     if kind == "error" {
         return Ok(Event::ListFailed);
@@ -147,28 +149,28 @@
         sheets.get(&sheet).ok_or_else(|| format!("message \"fleet\": list {sheet} is not defined"))?;
     let entries = nodes.iter().map(|n| entry(n, names)).collect::<Result<Vec<_>, _>>()?;
     match kind {
-        "disk" => Ok(Event::DiskList(entries)),
+        "disk" => Ok(Event::PersistedList(entries)),
         "snapshot" => Ok(Event::FullList(entries)),
         "diff" => Ok(Event::ListChanges(entries)),
         _ => Err(f.wrong("kind", "disk, snapshot, diff or error")),
     }
 }
 
-fn entry(node: &Value, names: &Names) -> Result<Entry, String> {
+fn entry(node: &Value, names: &NameIndex) -> Result<ListEntry, String> {
     let values = node.as_array().ok_or("a list entry is not an array")?;
     let f = Fields { name: "defineList", values };
     let listing = match f.text(1, "status")? {
-        "ready" => Listing::Ready,
-        "draining" => Listing::Draining,
-        "gone" => Listing::Gone,
+        "ready" => EntryState::Ready,
+        "draining" => EntryState::Draining,
+        "gone" => EntryState::Gone,
         _ => return Err(f.wrong("status", "ready, draining or gone")),
     };
     let place = |map: &BTreeMap<String, usize>, at, field| -> Result<usize, String> {
         Ok(f.optional_text(at, field)?.and_then(|n| map.get(n).copied()).unwrap_or(usize::MAX))
     };
-    Ok(Entry {
+    Ok(ListEntry {
         receiver: ReceiverId(f.int(0, "receiver")?),
-        listing,
+        state: listing,
         zone: ZoneId(place(&names.zones, 3, "hall")?),
         destination: DestinationId(f.get(4).map_or(Ok(0), |_| f.int(4, "dest"))?),
         kind: KindId(place(&names.kinds, 5, "machine")?),
@@ -176,7 +178,7 @@
     })
 }
 
-fn submit(f: &Fields, names: &Names) -> Result<Message, String> {
+fn submit(f: &Fields, names: &NameIndex) -> Result<Message, String> {
     let class = f.text(2, "tierClass")?;
     let class =
         names.classes.get(class).ok_or_else(|| format!("message \"submit\": unknown class \"{class}\""))?;
@@ -185,8 +187,8 @@
         id: MessageId(f.int(1, "xid")?),
         class: ClassId(*class),
         tenant,
-        key: f.optional_text(4, "entity")?.map(str::to_owned),
-        left: f.span(5, "graceUs")?,
+        ordering_key: f.optional_text(4, "entity")?.map(str::to_owned),
+        time_left: f.span(5, "graceUs")?,
         destination: DestinationId(f.int(7, "terminatesAt")?),
     })
 }
@@ -195,7 +197,7 @@
     let wait = f.get(7).map(|_| f.int(7, "detail")).transpose()?.filter(|ms| *ms > 0);
     let wait = wait.map(|ms| Micros(ms.saturating_mul(1000)));
     let column = |name: &str| f.get(8).and_then(|l| l.get(name)).and_then(Value::as_f64);
-    let (limit, left) = report(column("x1"), column("x0"));
+    let (limit, left) = load_report(column("x1"), column("x0"));
     Ok(Outcome {
         id: MessageId(f.int(1, "xid")?),
         attempt: u32::try_from(f.int(2, "roundNo")?).unwrap_or(u32::MAX),
@@ -203,8 +205,8 @@
         verdict: verdict(f, f.int(4, "verdict")?, wait)?,
         elapsed: f.span(5, "costTimeUs")?,
         finished: f.get(6).and_then(Value::as_bool).unwrap_or(false),
-        limit,
-        left,
+        limit_per_s: limit,
+        remaining_share: left,
     })
 }
 
@@ -224,15 +226,17 @@
 
 fn action(who: u64, a: Action) -> Value {
     match a {
-        Action::Send { id, receiver, patience } => json!(["relay", who, id.0, receiver.0, patience.0]),
+        Action::Send { id, receiver, timeout: patience } => {
+            json!(["relay", who, id.0, receiver.0, patience.0])
+        }
         Action::Refuse { id, retry_after } => json!(["turnAway", who, id.0, retry_after.map_or(0, |w| w.0)]),
         Action::Fail(id) => json!(["endFailed", who, id.0]),
-        Action::CallOff { id, attempt } => json!(["cancel", who, id.0, attempt]),
-        Action::CloseIdle(id) => json!(["closeIdle", who, id.0]),
-        Action::Tell(data) => json!(["tell", who, "all", to_hex(&data)]),
-        Action::Follow => json!(["follow", who, true]),
-        Action::WakeAfter(span) => json!(["after", who, span.0, "wake"]),
-        Action::Sick { receiver, destination, verdict } => {
+        Action::CancelAttempt { id, attempt } => json!(["cancel", who, id.0, attempt]),
+        Action::CloseIdleConnections(id) => json!(["closeIdle", who, id.0]),
+        Action::SendPeerHint(data) => json!(["tell", who, "all", to_hex(&data)]),
+        Action::RequestList => json!(["follow", who, true]),
+        Action::SetTimer(span) => json!(["after", who, span.0, "wake"]),
+        Action::LogUnhealthy { receiver, destination, verdict } => {
             let text = format!("receiver {} of {} sick: {verdict:?}", receiver.0, destination.0);
             json!(["writeLog", who, text])
         }
--- a/config/src/daemon.rs
+++ b/config/src/daemon.rs
@@ -1,7 +1,7 @@
 //! What the platform tells one forwarder: variables, and one JSON object.
 
 use crate::{changes, list, settings};
-use onyxrock::core::Names;
+use onyxrock::core::NameIndex;
 use onyxrock::interface::{Micros, Settings};
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
     pub settings: Settings,
     /// Lists are pushed: what is known where they come from counts as told here, whatever has been asked.
     pub pushed: bool,
-    pub names: Names,
+    pub names: NameIndex,
     /// The list as this forwarder last had it.
     pub known: Option<list::List>,
     /// The file, but for what a later one may leave out: that has to hold all that is here.
@@ -113,9 +113,9 @@
     let setup = v.get("settings").ok_or_else(|| format!("{shown}: no \"settings\""))?;
     let (mut settings, names) = settings::read(setup).map_err(|e| format!("{shown}: {e}"))?;
     // On sockets an end may always say when to come back: who does not follow it loses nothing.
-    settings.retry_after = true;
+    settings.send_retry_after = true;
     // Nobody comes here with the list: where it is pushed, too, it is had by a watch.
-    let pushed = !std::mem::replace(&mut settings.subscribe, true);
+    let pushed = !std::mem::replace(&mut settings.subscribe_to_list, true);
     if settings.classes.is_empty() {
         return Err(format!("{shown}: the settings name no class").into());
     }
--- a/config/src/duties.rs
+++ b/config/src/duties.rs
@@ -225,7 +225,7 @@
 #[cfg(test)]
 mod tests {
     use crate::product::parse;
-    use onyxrock::core::Names;
+    use onyxrock::core::NameIndex;
     use std::path::Path;
 
     const KEY: &str = "[[duties.key]]\nid = 1\nsecret = \
@@ -238,7 +238,7 @@
 
     fn read(head: &str, rest: &str) -> Result<super::Duties, String> {
         let text = format!("[duties]\nlisten = \"127.0.0.1:0\"\nsign = 1\n{head}{MEMBER}{rest}{KEY}");
-        parse(&text, Path::new("p.toml"), &Names::default(), &nobody).map(|p| p.duties.unwrap())
+        parse(&text, Path::new("p.toml"), &NameIndex::default(), &nobody).map(|p| p.duties.unwrap())
     }
 
     #[test]
@@ -268,7 +268,7 @@
             "[duties]\nlisten = \"127.0.0.1:0\"\nsign = 1\n{MEMBER}{}",
             KEY.replace("00112233", "beef")
         );
-        let e = parse(&short, Path::new("p.toml"), &Names::default(), &nobody).unwrap_err();
+        let e = parse(&short, Path::new("p.toml"), &NameIndex::default(), &nobody).unwrap_err();
         assert!(e.contains("64 hexadecimal digits") && !e.contains("beef"), "{e}");
     }
 }
--- a/config/src/list.rs
+++ b/config/src/list.rs
@@ -1,6 +1,6 @@
 //! Discovery's list, as JSON, read in pieces as it comes.
 
-use onyxrock::core::Names;
+use onyxrock::core::NameIndex;
 use onyxrock::interface::*;
 use serde::Deserialize;
 use serde_json::Value;
@@ -14,7 +14,7 @@
     pub address: SocketAddr,
     pub zone: String,
     /// All but the receiver's number, which is the reader's to give.
-    pub entry: Entry,
+    pub entry: ListEntry,
 }
 
 /// A whole list or the entries that changed.
@@ -54,16 +54,16 @@
 
 /// Reads a list. An entry that cannot be read fails it as a whole: a list with holes would look like endpoints
 /// that are gone.
-pub fn read(v: &Value, names: &Names) -> Result<List, String> {
+pub fn read(v: &Value, names: &NameIndex) -> Result<List, String> {
     parse(v.to_string().as_bytes(), names)
 }
 
 /// The same, of its text.
-pub fn parse(text: &[u8], names: &Names) -> Result<List, String> {
+pub fn parse(text: &[u8], names: &NameIndex) -> Result<List, String> {
     collect(std::iter::once(text), names)
 }
 
-fn collect<'t>(pieces: impl Iterator<Item = &'t [u8]>, names: &Names) -> Result<List, String> {
+fn collect<'t>(pieces: impl Iterator<Item = &'t [u8]>, names: &NameIndex) -> Result<List, String> {
     let mut reader = Reader::new(names);
     let mut entries = Vec::new();
     for piece in pieces {
@@ -76,24 +76,24 @@
     Ok(List { generation, whole, entries })
 }
 
-fn listed(bytes: &[u8], names: &Names) -> Result<Listed, String> {
+fn listed(bytes: &[u8], names: &NameIndex) -> Result<Listed, String> {
     let i: Instance = serde_json::from_slice(bytes).map_err(|e| format!("list: an entry: {e}"))?;
     let place = |map: &std::collections::BTreeMap<String, usize>, name: &str| {
         map.get(name).copied().unwrap_or(usize::MAX)
     };
     let zone = i.zone.as_deref().unwrap_or_default();
     let listing = match &*i.lifecycle {
-        "Ready" => Listing::Ready,
-        "Terminating" => Listing::Draining,
-        "Gone" => Listing::Gone,
+        "Ready" => EntryState::Ready,
+        "Terminating" => EntryState::Draining,
+        "Gone" => EntryState::Gone,
         other => return Err(format!("list: unknown lifecycle {other:?}")),
     };
     Ok(Listed {
         address: i.address.parse().map_err(|e| format!("list: hostPort {:?}: {e}", i.address))?,
         zone: zone.to_owned(),
-        entry: Entry {
+        entry: ListEntry {
             receiver: ReceiverId(0),
-            listing,
+            state: listing,
             destination: DestinationId(i.cell.unwrap_or(0)),
             kind: KindId(place(&names.kinds, i.kind.as_deref().unwrap_or_default())),
             zone: ZoneId(place(&names.zones, zone)),
@@ -124,7 +124,7 @@
 /// Reads a list of any length in the pieces in which it comes, and holds one entry at a time. It finds where entries
 /// begin and end; what they and the head say is read by `serde_json`.
 pub struct Reader<'n> {
-    names: &'n Names,
+    names: &'n NameIndex,
     at: At,
     depth: u32,
     text: bool,
@@ -135,7 +135,7 @@
 }
 
 impl<'n> Reader<'n> {
-    pub fn new(names: &'n Names) -> Reader<'n> {
+    pub fn new(names: &'n NameIndex) -> Reader<'n> {
         let (at, depth, text, escaped, seen) = (At::Head, 0, false, false, false);
         Reader { names, at, depth, text, escaped, seen, head: Vec::new(), entry: Vec::new() }
     }
@@ -239,7 +239,7 @@
 
     fn read_in(pieces: impl Iterator<Item = Vec<u8>>) -> Result<List, String> {
         let pieces: Vec<_> = pieces.collect();
-        collect(pieces.iter().map(Vec::as_slice), &Names::default())
+        collect(pieces.iter().map(Vec::as_slice), &NameIndex::default())
     }
 
     #[test]
@@ -252,7 +252,7 @@
         let l = read_in([LIST.as_bytes().to_vec()].into_iter()).unwrap();
         assert_eq!((l.generation, l.whole, l.entries.len()), (41, false, 2));
         assert_eq!((l.entries[0].name.as_str(), l.entries[0].entry.weight), ("a\"}]\\", 1.5));
-        assert_eq!((l.entries[1].entry.listing, l.entries[1].zone.as_str()), (Listing::Gone, ""));
+        assert_eq!((l.entries[1].entry.state, l.entries[1].zone.as_str()), (EntryState::Gone, ""));
         let empty = read_in([br#"{"generation":1,"instances":[]}"#.to_vec()].into_iter()).unwrap();
         assert!(empty.whole && empty.entries.is_empty());
     }
--- a/config/src/product.rs
+++ b/config/src/product.rs
@@ -5,7 +5,7 @@
 
 use crate::duties::{self, Duties};
 use crate::{dns, idle, smpp};
-use onyxrock::core::Names;
+use onyxrock::core::NameIndex;
 use onyxrock::interface::Micros;
 use serde::{Deserialize, Deserializer, de};
 use std::ops::Range;
@@ -123,13 +123,13 @@
 pub type Zones<'a> = &'a dyn Fn(&dns::Dns, &str) -> Result<Vec<duties::Member>, String>;
 
 /// Reads the file. Names of classes, tenants, kinds and zones must be those of the platform's settings.
-pub fn read(path: &Path, names: &Names, zones: Zones) -> Result<Product, String> {
+pub fn read(path: &Path, names: &NameIndex, zones: Zones) -> Result<Product, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
     parse(&text, path, names, zones)
 }
 
 /// Reads the text of a file; other files that it names stand beside it.
-pub fn parse(text: &str, path: &Path, names: &Names, zones: Zones) -> Result<Product, String> {
+pub fn parse(text: &str, path: &Path, names: &NameIndex, zones: Zones) -> Result<Product, String> {
     let line = |at: Option<Range<usize>>, what: &str| {
         // Several lines of explanation, and control characters from the file, have no place in one line.
         let what: String = what.chars().map(|c| if c.is_control() { ' ' } else { c }).collect();
@@ -168,9 +168,9 @@
 mod tests {
     use super::*;
 
-    fn names() -> Names {
+    fn names() -> NameIndex {
         let map = |n: &[&str]| n.iter().enumerate().map(|(i, n)| ((*n).to_owned(), i)).collect();
-        Names {
+        NameIndex {
             classes: map(&["status"]),
             tenants: map(&["clubs"]),
             kinds: map(&["club"]),
--- a/config/src/settings.rs
+++ b/config/src/settings.rs
@@ -1,6 +1,6 @@
 //! From the wire's settings object to the library's settings. Absent values mean "does not apply"; wrong ones are refused.
 
-use onyxrock::core::Names;
+use onyxrock::core::NameIndex;
 use onyxrock::interface::*;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -96,27 +96,27 @@
         Some("repeatable") => Effect::Safe,
         Some("by_key") => {
             let group = match text(v, "/group")? {
-                Some("all") => Group::All,
+                Some("all") => DedupScope::Destination,
                 // The narrower of both: what is not named binds no less.
-                None | Some("zone" | "cell") => Group::Zone,
+                None | Some("zone" | "cell") => DedupScope::Zone,
                 Some(other) => return Err(format!("settings: group is not all or zone: \"{other}\"")),
             };
             let window = micros(v, "/windowUs")?;
             if window == Micros(0) {
                 return Err("settings: windowUs is missing or 0, where effect is by_key".into());
             }
-            Effect::Keyed { group, window }
+            Effect::Keyed { scope: group, window }
         }
         None | Some("once") => Effect::Unsafe,
         Some(other) => return Err(format!("settings: effect is not known: \"{other}\"")),
     };
     Ok(ClassSettings {
-        aim: micros(v, "/targetUs")?,
-        give_up: applies(micros(v, "/giveUpUs")?).unwrap_or(NO_END),
+        target_latency: micros(v, "/targetUs")?,
+        give_up_after: applies(micros(v, "/giveUpUs")?).unwrap_or(NO_END),
         effect,
         in_order: flag(v, "/oneAtATime")?,
-        worth: number(v, "/worth")?,
-        late_share: number(v, "/lateShare")?,
+        value: number(v, "/worth")?,
+        late_value_share: number(v, "/lateShare")?,
     })
 }
 
@@ -128,7 +128,7 @@
 }
 
 /// Reads the settings object of a new instance. An error is one line that names the key.
-pub fn read(v: &Value) -> Result<(Settings, Names), String> {
+pub fn read(v: &Value) -> Result<(Settings, NameIndex), String> {
     if !v.is_object() {
         return Err("settings are not an object".into());
     }
@@ -146,48 +146,48 @@
         tenants: tenants.collect::<Result<_, _>>()?,
         kinds: (0..kinds.len())
             .map(|i| KindSettings {
-                apart: nth("/extra/kindApart", i).as_bool().unwrap_or(false),
-                batch: nth("/extra/perCall", i).as_f64().map_or(1, |n| n as u32).max(1),
+                separate_routes: nth("/extra/kindApart", i).as_bool().unwrap_or(false),
+                messages_per_call: nth("/extra/perCall", i).as_f64().map_or(1, |n| n as u32).max(1),
             })
             .collect(),
         zone_fees: list(v, "/extra/feeByZone").iter().map(|f| f.as_f64().unwrap_or(0.0)).collect(),
-        fade: match text(v, "/extra/fades")? {
-            Some("halves") => Fade::Halves,
-            _ => Fade::Line,
+        value_decay: match text(v, "/extra/fades")? {
+            Some("halves") => ValueDecay::Halving,
+            _ => ValueDecay::Linear,
         },
-        over_share_worth: at(v, "/overShareWorth", "a number", Value::as_f64)?.unwrap_or(1.0),
+        over_share_value: at(v, "/overShareWorth", "a number", Value::as_f64)?.unwrap_or(1.0),
         slots: count(v, "/extra/slots")?.unwrap_or(u32::MAX),
         max_held: count(v, "/limits/maxOpen")?.unwrap_or(u32::MAX),
         max_attempts: count(v, "/limits/maxAttempts")?.unwrap_or(u32::MAX),
         second_copies: flag(v, "/limits/secondCopies")?,
-        cancel: flag(v, "/limits/cancel")?,
-        reports: reports(v)?,
-        senders: count(v, "/replicasOfMe")?.unwrap_or(1).max(1),
-        number: count(v, "/slotNo")?.unwrap_or(0),
-        retry_after: flag(v, "/limits/retryAfter")?,
+        allow_cancel: flag(v, "/limits/cancel")?,
+        load_reports: reports(v)?,
+        sender_count: count(v, "/replicasOfMe")?.unwrap_or(1).max(1),
+        sender_index: count(v, "/slotNo")?.unwrap_or(0),
+        send_retry_after: flag(v, "/limits/retryAfter")?,
         max_retry_after: micros(v, "/limits/maxRetryAfterUs")?,
-        subscribe: text(v, "/discovery")? == Some("subscribe"),
+        subscribe_to_list: text(v, "/discovery")? == Some("subscribe"),
         weights: match text(v, "/weightSource")? {
             Some("nominal") => Weights::Nominal,
             Some("rough") => Weights::Rough,
             _ => Weights::Off,
         },
-        key_rest: micros(v, "/rules/settleAfterDoubtUs")?,
-        fall_multiple: number(v, "/rules/fallMultiple")?,
-        fall_window: micros(v, "/rules/fallUs")?,
-        cold_from: number(v, "/rules/coldFrom")?,
-        warm_within: micros(v, "/rules/warmWithinUs")?,
-        connection_idle: micros(v, "/limits/connIdleUs")?,
-        notes: flag(v, "/limits/peerMessages")?,
+        key_cooldown: micros(v, "/rules/settleAfterDoubtUs")?,
+        collapse_multiple: number(v, "/rules/fallMultiple")?,
+        collapse_window: micros(v, "/rules/fallUs")?,
+        cold_start_share: number(v, "/rules/coldFrom")?,
+        warm_up_time: micros(v, "/rules/warmWithinUs")?,
+        connection_idle_timeout: micros(v, "/limits/connIdleUs")?,
+        peer_hints: flag(v, "/limits/peerMessages")?,
         probe_class: None,
-        hold_back: Micros(0),
-        ask_every: micros(v, "/rules/askEveryUs")?,
+        message_probe_delay: Micros(0),
+        list_poll_interval: micros(v, "/rules/askEveryUs")?,
     };
-    if settings.number >= settings.senders {
-        let (number, senders) = (settings.number, settings.senders);
+    if settings.sender_index >= settings.sender_count {
+        let (number, senders) = (settings.sender_index, settings.sender_count);
         return Err(format!("settings: slotNo is {number}, but replicasOfMe is {senders}"));
     }
-    let names = Names {
+    let names = NameIndex {
         classes: names(v, "/classes", "/name")?,
         tenants: names(v, "/tenants", "/name")?,
         kinds: names(v, "/hostTypes", "")?,
@@ -197,18 +197,22 @@
 }
 
 /// What the settings allow and forbid, in plain words: a line each.
-pub fn in_words(set: &Settings, names: &Names) -> Vec<String> {
+pub fn in_words(set: &Settings, names: &NameIndex) -> Vec<String> {
     let may = |allowed: bool, yes: &str, no: &str| if allowed { yes.to_owned() } else { no.to_owned() };
     let mut lines: Vec<_> = names
         .classes
         .iter()
         .filter_map(|(name, i)| Some((name, set.classes.get(*i)?)))
         .map(|(name, c)| {
-            let (aim, end) = (c.aim.secs(), c.give_up.secs());
+            let (aim, end) = (c.target_latency.secs(), c.give_up_after.secs());
             let repeat = match c.effect {
                 Effect::Safe => "safe to repeat".to_owned(),
-                Effect::Keyed { group, window } => {
-                    let by = if group == Group::All { "any endpoint" } else { "endpoints of one zone only" };
+                Effect::Keyed { scope: group, window } => {
+                    let by = if group == DedupScope::Destination {
+                        "any endpoint"
+                    } else {
+                        "endpoints of one zone only"
+                    };
                     format!("a repeat is dropped for {} s by {by}", window.secs())
                 }
                 Effect::Unsafe => "never repeated once it may have run".to_owned(),
@@ -223,7 +227,7 @@
         bound(set.max_attempts),
         may(set.second_copies, copies, "never two at once")
     ));
-    lines.push(may(set.reports, "limits: told in answers", "limits: answers tell nothing of them"));
+    lines.push(may(set.load_reports, "limits: told in answers", "limits: answers tell nothing of them"));
     lines.push(match set.weights {
         Weights::Off => "the list: tells no limits".to_owned(),
         Weights::Nominal => "the list: tells the limit of each destination".to_owned(),
@@ -234,8 +238,8 @@
         "room: {} calls out, {} messages held; {} senders",
         bound(set.slots),
         bound(set.max_held),
-        set.senders
+        set.sender_count
     ));
-    lines.push(may(set.notes, "other senders: may be told", "other senders: are told nothing"));
+    lines.push(may(set.peer_hints, "other senders: may be told", "other senders: are told nothing"));
     lines
 }
--- a/config/src/smpp.rs
+++ b/config/src/smpp.rs
@@ -1,7 +1,7 @@
 //! `[smpp]`: how the SMPP front listens, which gateways there are, and what fields mean.
 
 use crate::product::{Seconds, Wrong};
-use onyxrock::core::Names;
+use onyxrock::core::NameIndex;
 use onyxrock::interface::Micros;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -135,7 +135,7 @@
 }
 
 impl Raw {
-    pub(crate) fn check(self, names: &Names) -> Result<Smpp, Wrong> {
+    pub(crate) fn check(self, names: &NameIndex) -> Result<Smpp, Wrong> {
         let mut clients = BTreeMap::new();
         for c in self.client {
             let tenant = c.tenant.filter(|t| !t.get_ref().is_empty());
--- a/config/tests/settings.rs
+++ b/config/tests/settings.rs
@@ -29,11 +29,22 @@
 #[test]
 fn two_deployments_are_read_as_they_say() {
     let (a, names) = settings::read(&listed()).unwrap();
-    assert!(!a.second_copies && !a.reports && a.weights == Weights::Rough && names.classes["payment"] == 2);
-    assert_eq!(a.classes[1].effect, Effect::Keyed { group: Group::Zone, window: Micros(6_000_000) });
+    assert!(
+        !a.second_copies && !a.load_reports && a.weights == Weights::Rough && names.classes["payment"] == 2
+    );
+    assert_eq!(a.classes[1].effect, Effect::Keyed { scope: DedupScope::Zone, window: Micros(6_000_000) });
     let (b, names) = settings::read(&reported()).unwrap();
-    assert!(b.second_copies && b.cancel && b.reports && b.weights == Weights::Off && b.retry_after);
-    assert_eq!(b.classes[0].effect, Effect::Keyed { group: Group::All, window: Micros(5_000_000) });
+    assert!(
+        b.second_copies
+            && b.allow_cancel
+            && b.load_reports
+            && b.weights == Weights::Off
+            && b.send_retry_after
+    );
+    assert_eq!(
+        b.classes[0].effect,
+        Effect::Keyed { scope: DedupScope::Destination, window: Micros(5_000_000) }
+    );
     let words = settings::in_words(&b, &names).join("\n");
     for said in ["dropped for 5 s by any endpoint", "a second copy may go", "told in answers", "2 senders"] {
         assert!(words.contains(said), "{said}: {words}");
@@ -70,9 +81,9 @@
     v["limits"] = json!({"inventedLater": 7});
     v["feedback"] = Value::Null;
     let (set, _) = settings::read(&v).unwrap();
-    assert!(!set.second_copies && !set.reports && set.max_attempts == u32::MAX);
+    assert!(!set.second_copies && !set.load_reports && set.max_attempts == u32::MAX);
     v["feedback"] = json!({"how": "inline", "columns": ["x1", "x9"]});
-    assert!(!settings::read(&v).unwrap().0.reports, "half of a report is none");
+    assert!(!settings::read(&v).unwrap().0.load_reports, "half of a report is none");
     // What is said to be unused is: whatever stands there, nothing changes.
     let read = settings::read(&reported()).unwrap().0;
     for (key, _) in settings::UNUSED {
@@ -96,7 +107,7 @@
 #[case(Some(f64::NAN), Some(0.2), false)]
 #[case(Some(5.0), Some(f64::INFINITY), false)]
 fn a_report_that_cannot_be_is_none(#[case] limit: Option<f64>, #[case] left: Option<f64>, #[case] is: bool) {
-    assert_eq!(report(limit, left), if is { (limit, left) } else { (None, None) });
+    assert_eq!(load_report(limit, left), if is { (limit, left) } else { (None, None) });
 }
 
 /// Deployments differ in all of this: what is named, how many there are, which effects, how long, and what is 0 or absent.
@@ -116,9 +127,13 @@
         for (i, c) in classes.as_array().unwrap().iter().enumerate() {
             assert_eq!(names.classes[c["name"].as_str().unwrap()], i);
             let end = c["giveUpUs"].as_u64().filter(|end| *end > 0);
-            assert_eq!(set.classes[i].give_up, end.map_or(Micros(86_400_000_000), Micros), "no end is none");
+            assert_eq!(
+                set.classes[i].give_up_after,
+                end.map_or(Micros(86_400_000_000), Micros),
+                "no end is none"
+            );
         }
-        assert!(set.slots > 0 && set.max_held > 0 && set.max_attempts > 0 && set.senders > 0);
+        assert!(set.slots > 0 && set.max_held > 0 && set.max_attempts > 0 && set.sender_count > 0);
         assert!(settings::in_words(&set, &names).len() > set.classes.len());
     }
 }
--- a/daemon/src/clock.rs
+++ b/daemon/src/clock.rs
@@ -42,7 +42,7 @@
     }
 
     pub fn now(&self) -> Micros {
-        self.wall.after(self.up())
+        self.wall.plus(self.up())
     }
     /// Time since the boot, suspended or not: all processes of a machine read it alike.
     pub fn boot_time() -> Micros {
@@ -85,7 +85,7 @@
 fn continue_from(folder: &Path, boot_id: &str, wall: Micros, boot: Micros) -> Micros {
     let file = folder.join(FILE);
     let kept = std::fs::read_to_string(&file).ok();
-    let kept = kept.as_deref().and_then(|text| read(text, boot_id)).map(|offset| offset.after(boot));
+    let kept = kept.as_deref().and_then(|text| read(text, boot_id)).map(|offset| offset.plus(boot));
     if let Some(continued) = kept {
         let step = wall.since(continued).max(continued.since(wall));
         if step < STEP_LEAST {
--- a/daemon/src/clock/tests.rs
+++ b/daemon/src/clock/tests.rs
@@ -17,30 +17,30 @@
 fn second(name: &str, boot_id: &str, later: Micros, wall: Micros) -> Micros {
     let folder = folder(name);
     assert_eq!(continue_from(&folder, "boot-1", WALL, BOOT), WALL);
-    let time = continue_from(&folder, boot_id, wall, BOOT.after(later));
+    let time = continue_from(&folder, boot_id, wall, BOOT.plus(later));
     std::fs::remove_dir_all(&folder).unwrap();
     time
 }
 
 #[rstest]
 #[case::set_back(Micros(WALL.0 - HOUR.0))]
-#[case::set_forward(WALL.after(HOUR))]
-#[case::seconds_forward(WALL.after(Micros(9_000_000)))]
+#[case::set_forward(WALL.plus(HOUR))]
+#[case::seconds_forward(WALL.plus(Micros(9_000_000)))]
 fn a_stepped_wall_clock_does_not_move_time(#[case] wall: Micros) {
     let later = Micros(2_000_000);
-    let time = second(&format!("step-{}", wall.0), "boot-1", later, wall.after(later));
-    assert_eq!(time, WALL.after(later));
+    let time = second(&format!("step-{}", wall.0), "boot-1", later, wall.plus(later));
+    assert_eq!(time, WALL.plus(later));
 }
 
 #[test]
 fn a_clock_that_was_not_stepped_is_believed() {
-    let drifted = WALL.after(Micros(2_000_400));
+    let drifted = WALL.plus(Micros(2_000_400));
     assert_eq!(second("drift", "boot-1", Micros(2_000_000), drifted), drifted);
 }
 
 #[test]
 fn after_another_boot_there_is_only_the_wall_time() {
-    let wall = WALL.after(HOUR);
+    let wall = WALL.plus(HOUR);
     assert_eq!(second("boot", "boot-2", Micros(1_000_000), wall), wall);
 }
 
@@ -52,7 +52,7 @@
     let folder = folder(&format!("bad-{}", text.len()));
     std::fs::write(folder.join(FILE), text).unwrap();
     assert_eq!(continue_from(&folder, "boot-1", WALL, BOOT), WALL);
-    let stepped = WALL.after(HOUR);
-    assert_eq!(continue_from(&folder, "boot-1", stepped, BOOT.after(Micros(1))), WALL.after(Micros(1)));
+    let stepped = WALL.plus(HOUR);
+    assert_eq!(continue_from(&folder, "boot-1", stepped, BOOT.plus(Micros(1))), WALL.plus(Micros(1)));
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/daemon/src/folder.rs
+++ b/daemon/src/folder.rs
@@ -2,7 +2,7 @@
 //!
 //! Each has a place, with a log and a lock that dies with its process; docs/design/upgrade.md says why.
 
-use onyxrock::core::{Scan, frames};
+use onyxrock::core::{LogScan, scan_log};
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, ErrorKind};
 use std::path::{Path, PathBuf};
@@ -149,8 +149,8 @@
     ///
     /// # Errors
     /// It cannot be read.
-    pub fn scan(&self) -> io::Result<Scan> {
-        read(&self.log).map(|bytes| frames(&bytes))
+    pub fn scan(&self) -> io::Result<LogScan> {
+        read(&self.log).map(|bytes| scan_log(&bytes))
     }
 
     /// Somebody else has all of it now.
--- a/daemon/src/folder/tests.rs
+++ b/daemon/src/folder/tests.rs
@@ -17,7 +17,7 @@
     drop(first);
     let Ok(Other::Free(left)) = second.other() else { panic!("its process is gone") };
     assert!(left.is_there());
-    assert_eq!(left.scan().unwrap().damaged, 5);
+    assert_eq!(left.scan().unwrap().damaged_bytes, 5);
     assert_eq!(lock(&folder, PLACES[0]).unwrap().map(drop), None, "it is nobody's while it is looked at");
     left.clear().unwrap();
     assert!(!left.is_there());
--- a/daemon/src/invariants.rs
+++ b/daemon/src/invariants.rs
@@ -5,7 +5,7 @@
 use crate::counters::Count;
 use crate::module::Permit;
 use crate::net::OutboundCall;
-use onyxrock::interface::{Entry, Listing, Micros, ReceiverId};
+use onyxrock::interface::{EntryState, ListEntry, Micros, ReceiverId};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -78,9 +78,9 @@
     }
 
     /// The list says this of an endpoint.
-    pub fn listed(&self, now: Micros, entry: &Entry) {
+    pub fn listed(&self, now: Micros, entry: &ListEntry) {
         let mut told = self.told.borrow_mut();
-        if entry.listing == Listing::Ready {
+        if entry.state == EntryState::Ready {
             if let Some(told) = told.get_mut(&entry.receiver) {
                 told.drained = None;
             }
@@ -145,7 +145,7 @@
 
     /// This process ends, and its platform has not heard of an end by now.
     pub fn left_overdue(&self, now: Micros, id: &str, deadline: Micros) {
-        if now > deadline.after(END_GRACE) {
+        if now > deadline.plus(END_GRACE) {
             self.late_end.up();
             let late_ms = now.since(deadline).0 / 1000;
             tracing::error!(id, late_ms, "violation: an end is left to the next process too late");
@@ -157,7 +157,7 @@
         if self.found_overdue.borrow_mut().remove(id) {
             return;
         }
-        if now > deadline.after(END_GRACE) && up > RESTART_GRACE {
+        if now > deadline.plus(END_GRACE) && up > RESTART_GRACE {
             self.late_end.up();
             let late_ms = now.since(deadline).0 / 1000;
             tracing::error!(id, late_ms, "violation: an end was told too late");
--- a/daemon/src/invariants/tests.rs
+++ b/daemon/src/invariants/tests.rs
@@ -26,31 +26,33 @@
     }
 }
 
-fn listed(listing: Listing) -> Entry {
+fn listed(listing: EntryState) -> ListEntry {
     let (destination, kind, zone) = (DestinationId(1), KindId(0), ZoneId(0));
-    Entry { receiver: TO, listing, destination, kind, zone, weight: 1.0 }
+    ListEntry { receiver: TO, state: listing, destination, kind, zone, weight: 1.0 }
 }
 
 #[rstest]
-#[case::within_the_grace(Listing::Draining, 1_000_000, 0)]
-#[case::beyond_it(Listing::Draining, 1_000_001, 1)]
-#[case::gone(Listing::Gone, 2_000_000, 1)]
-#[case::ready(Listing::Ready, 9_000_000, 0)]
-fn a_call_to_an_endpoint_that_drains(#[case] listing: Listing, #[case] after: u64, #[case] violations: u64) {
+#[case::within_the_grace(EntryState::Draining, 1_000_000, 0)]
+#[case::beyond_it(EntryState::Draining, 1_000_001, 1)]
+#[case::gone(EntryState::Gone, 2_000_000, 1)]
+#[case::ready(EntryState::Ready, 9_000_000, 0)]
+fn a_call_to_an_endpoint_that_drains(
+    #[case] listing: EntryState, #[case] after: u64, #[case] violations: u64,
+) {
     let invariants = Invariants::default();
     invariants.listed(START, &listed(listing));
     // Word of it again does not begin the grace anew.
-    invariants.listed(START.after(Micros(500_000)), &listed(listing));
-    invariants.sends(START.after(Micros(after)), &call(false), &PERMIT);
+    invariants.listed(START.plus(Micros(500_000)), &listed(listing));
+    invariants.sends(START.plus(Micros(after)), &call(false), &PERMIT);
     assert_eq!((invariants.drain.get(), invariants.total()), (violations, violations));
 }
 
 #[test]
 fn an_endpoint_that_is_ready_again_may_be_called() {
     let invariants = Invariants::default();
-    invariants.listed(START, &listed(Listing::Draining));
-    invariants.listed(START, &listed(Listing::Ready));
-    invariants.sends(START.after(Micros(9_000_000)), &call(false), &PERMIT);
+    invariants.listed(START, &listed(EntryState::Draining));
+    invariants.listed(START, &listed(EntryState::Ready));
+    invariants.sends(START.plus(Micros(9_000_000)), &call(false), &PERMIT);
     assert_eq!(invariants.total(), 0);
 }
 
@@ -64,12 +66,12 @@
     let invariants = Invariants::default();
     invariants.maintenance(START, "e1", true);
     // The call may come twice, and the list may say that it is ready.
-    invariants.maintenance(START.after(Micros(500_000)), "e1", true);
-    invariants.listed(START, &listed(Listing::Ready));
+    invariants.maintenance(START.plus(Micros(500_000)), "e1", true);
+    invariants.listed(START, &listed(EntryState::Ready));
     if put_back {
-        invariants.maintenance(START.after(Micros(600_000)), "e1", false);
+        invariants.maintenance(START.plus(Micros(600_000)), "e1", false);
     }
-    invariants.sends(START.after(Micros(after)), &call(false), &PERMIT);
+    invariants.sends(START.plus(Micros(after)), &call(false), &PERMIT);
     assert_eq!((invariants.in_maintenance.get(), invariants.total()), (violations, violations));
 }
 
@@ -79,9 +81,9 @@
 #[case::after_it(800_000, 0)]
 fn a_call_during_a_wait(#[case] after: u64, #[case] violations: u64) {
     let invariants = Invariants::default();
-    invariants.told_wait(START, TO, START.after(Micros(800_000)));
-    invariants.told_wait(START, TO, START.after(Micros(300_000)));
-    invariants.sends(START.after(Micros(after)), &call(false), &PERMIT);
+    invariants.told_wait(START, TO, START.plus(Micros(800_000)));
+    invariants.told_wait(START, TO, START.plus(Micros(300_000)));
+    invariants.sends(START.plus(Micros(after)), &call(false), &PERMIT);
     assert_eq!((invariants.wait.get(), invariants.total()), (violations, violations));
 }
 
@@ -91,7 +93,7 @@
     let repeat = Permit { repeat: true, valid_until: START, ..PERMIT };
     invariants.sends(START, &call(false), &repeat);
     assert_eq!(invariants.total(), 0, "a repeat in time that takes no effect");
-    invariants.sends(START.after(Micros(1)), &call(false), &repeat);
+    invariants.sends(START.plus(Micros(1)), &call(false), &repeat);
     assert_eq!((invariants.late_attempt.get(), invariants.total()), (1, 1));
     invariants.sends(START, &call(true), &repeat);
     assert_eq!((invariants.repeat.get(), invariants.total()), (1, 2));
@@ -102,8 +104,8 @@
 #[test]
 fn an_end_that_comes_too_late_is_counted_but_for_what_a_restart_found() {
     let invariants = Invariants::default();
-    let late = START.after(Micros(300_001));
-    invariants.ended(START.after(Micros(300_000)), "m1", START, Micros(60_000_000));
+    let late = START.plus(Micros(300_001));
+    invariants.ended(START.plus(Micros(300_000)), "m1", START, Micros(60_000_000));
     invariants.ended(late, "m1", START, Micros(1_500_000));
     assert_eq!(invariants.total(), 0);
     invariants.ended(late, "m1", START, Micros(1_500_001));
@@ -123,8 +125,8 @@
 #[test]
 fn an_end_that_was_left_too_late_counts_where_it_was_left() {
     let (next, left) = (Invariants::default(), Invariants::default());
-    let (late, up) = (START.after(Micros(300_001)), Micros(60_000_000));
-    left.left_overdue(START.after(Micros(300_000)), "m1", START);
+    let (late, up) = (START.plus(Micros(300_001)), Micros(60_000_000));
+    left.left_overdue(START.plus(Micros(300_000)), "m1", START);
     assert_eq!(left.total(), 0);
     left.left_overdue(late, "m1", START);
     assert_eq!((left.late_end.get(), left.total()), (1, 1));
--- a/daemon/src/list/dns.rs
+++ b/daemon/src/list/dns.rs
@@ -7,7 +7,7 @@
 use async_io::Async;
 use futures_lite::future;
 use hickory_proto::op::{Message, OpCode, ResponseCode};
-use onyxrock::core::Names;
+use onyxrock::core::NameIndex;
 use std::net::{SocketAddr, UdpSocket};
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -22,7 +22,7 @@
 
 pub struct Dns {
     pub zone: Zone,
-    pub names: Names,
+    pub names: NameIndex,
     pub socket: Async<UdpSocket>,
     folder: PathBuf,
     most: u64,
@@ -31,7 +31,7 @@
 impl Dns {
     /// The zone as an earlier process kept it, where that is later than the file.
     pub fn open(
-        text: &str, origin: &str, listen: SocketAddr, folder: PathBuf, most: u64, names: Names,
+        text: &str, origin: &str, listen: SocketAddr, folder: PathBuf, most: u64, names: NameIndex,
     ) -> Result<Dns, String> {
         let mut zone = Zone::parse(text, origin)?;
         if let Ok(kept) = std::fs::read_to_string(folder.join(NAME)) {
--- a/daemon/src/list/fetch.rs
+++ b/daemon/src/list/fetch.rs
@@ -109,13 +109,13 @@
         let mut text = Vec::new();
         let mut body = conn.body(answer, usize::MAX).map_err(|e| Failed::Silent(e.to_string()))?;
         // A long list takes its time; one that comes by drops is as good as silence.
-        let (mut soon, mut came) = (self.clock.now().after(GRACE), 0);
+        let (mut soon, mut came) = (self.clock.now().plus(GRACE), 0);
         loop {
             let part = self.clock.before(soon, conn.part(&mut body)).await.ok_or_else(late)?;
             let Some(part) = part.map_err(text_of)? else { break };
             came += part.len();
             if came >= PIECE {
-                (soon, came) = (self.clock.now().after(GRACE), 0);
+                (soon, came) = (self.clock.now().plus(GRACE), 0);
             }
             if answer.status != 200 {
                 continue;
--- a/daemon/src/list/follow.rs
+++ b/daemon/src/list/follow.rs
@@ -158,12 +158,12 @@
         }
         self.calls += 1;
         let wait = self.wait();
-        let answer_by = asked.after(wait).after(self.patience());
+        let answer_by = asked.plus(wait).plus(self.patience());
         let call = Call {
             wait,
             clock: &self.shared.clock,
             discovery: &self.discovery,
-            connect_by: asked.after(self.shared.connect_timeout).min(answer_by),
+            connect_by: asked.plus(self.shared.connect_timeout).min(answer_by),
             answer_by,
             address: self.shared.discovery.get(),
             role: self.role,
--- a/daemon/src/list/mod.rs
+++ b/daemon/src/list/mod.rs
@@ -8,7 +8,7 @@
 pub use follow::run;
 
 use async_channel::Sender;
-use onyxrock::core::Names;
+use onyxrock::core::NameIndex;
 use onyxrock::interface::Micros;
 use onyxrock_config::idle::Bounds;
 use onyxrock_config::list::Listed;
@@ -29,7 +29,7 @@
 
 /// How discovery is asked.
 pub struct Discovery {
-    pub names: Names,
+    pub names: NameIndex,
     /// The version that is held; none before the first list. Versions begin at 0, which is not the same. The list
     /// that a start finds in the file may have been told by another discovery: its version means nothing here.
     pub generation: Option<u64>,
@@ -63,7 +63,7 @@
         kind: u16::try_from(l.entry.kind.0).unwrap_or(u16::MAX),
         destination: l.entry.destination.0,
         weight: l.entry.weight as f32,
-        listing: l.entry.listing,
+        listing: l.entry.state,
     }
 }
 
--- a/daemon/src/list/zone.rs
+++ b/daemon/src/list/zone.rs
@@ -6,7 +6,7 @@
 use hickory_proto::op::{Message, ResponseCode};
 use hickory_proto::rr::{DNSClass, Name, RData, Record, RecordType};
 use hickory_proto::serialize::txt::Parser;
-use onyxrock::core::Names;
+use onyxrock::core::NameIndex;
 use onyxrock::interface::*;
 use onyxrock_config::duties::Member;
 use onyxrock_config::list::{List, Listed};
@@ -195,7 +195,7 @@
     }
 
     /// The endpoints that it lists, and a line for each SRV record that names none.
-    pub fn list(&self, names: &Names) -> (List, Vec<String>) {
+    pub fn list(&self, names: &NameIndex) -> (List, Vec<String>) {
         let (mut entries, mut wrong) = (Vec::new(), Vec::new());
         for r in &self.records {
             let RData::SRV(srv) = &r.data else { continue };
@@ -229,7 +229,9 @@
         if members.is_empty() { Err(format!("the zone has no SRV record {owner}")) } else { Ok(members) }
     }
 
-    fn endpoint(&self, owner: &Name, srv: &hickory_proto::rr::rdata::SRV, names: &Names) -> Option<Listed> {
+    fn endpoint(
+        &self, owner: &Name, srv: &hickory_proto::rr::rdata::SRV, names: &NameIndex,
+    ) -> Option<Listed> {
         let labels: Vec<&[u8]> = owner.iter().collect();
         let [b"_onyxrock", b"_tcp", destination, ..] = labels.as_slice() else { return None };
         let destination = std::str::from_utf8(destination).ok()?.parse().ok()?;
@@ -249,9 +251,9 @@
             name: format!("{}:{}", srv.target.to_ascii().trim_end_matches('.'), srv.port),
             address: SocketAddr::new(ip, srv.port),
             zone: zone.to_owned(),
-            entry: Entry {
+            entry: ListEntry {
                 receiver: ReceiverId(0),
-                listing: if draining { Listing::Draining } else { Listing::Ready },
+                state: if draining { EntryState::Draining } else { EntryState::Ready },
                 destination: DestinationId(destination),
                 kind: KindId(place(&names.kinds, text("kind").unwrap_or(""))),
                 zone: ZoneId(place(&names.zones, zone)),
@@ -299,9 +301,9 @@
         m.authorities = updates;
         Message::from_vec(&m.to_vec().unwrap()).unwrap() // as it comes over the wire
     }
-    fn names() -> Names {
+    fn names() -> NameIndex {
         let one = |n: &str, i| [(n.to_owned(), i)].into_iter().collect();
-        Names { zones: one("z2", 1), kinds: one("k", 0), ..Names::default() }
+        NameIndex { zones: one("z2", 1), kinds: one("k", 0), ..NameIndex::default() }
     }
 
     #[test]
@@ -339,7 +341,7 @@
         let mut z = zone();
         let add = record(DNSClass::IN, "e1", 60, text("state=draining"));
         assert_eq!(z.update(&message(vec![], vec![add.clone()])), (ResponseCode::NoError, true));
-        assert_eq!(z.list(&names()).0.entries[0].entry.listing, Listing::Draining);
+        assert_eq!(z.list(&names()).0.entries[0].entry.state, EntryState::Draining);
         assert_eq!(z.serial(), 8);
         assert_eq!(z.update(&message(vec![], vec![add])), (ResponseCode::NoError, false), "nothing new");
         assert_eq!(z.serial(), 8);
@@ -360,7 +362,7 @@
         z.update(&message(vec![], vec![draining]));
         let back = record(DNSClass::NONE, "e1", 0, text("state=draining"));
         assert_eq!(z.update(&message(vec![], vec![back])), (ResponseCode::NoError, true));
-        assert_eq!(z.list(&names()).0.entries[0].entry.listing, Listing::Ready);
+        assert_eq!(z.list(&names()).0.entries[0].entry.state, EntryState::Ready);
         let mut all = record(DNSClass::ANY, "e1", 0, RData::Update0(RecordType::ANY));
         all.name = z.origin.clone();
         assert_eq!(z.update(&message(vec![], vec![all])), (ResponseCode::NoError, false));
--- a/daemon/src/module/beside.rs
+++ b/daemon/src/module/beside.rs
@@ -27,7 +27,7 @@
 impl Beside {
     /// This process starts beside another: it does not know yet what that one was told.
     pub fn newcomer(now: Micros, waits: PathBuf) -> Beside {
-        Beside { silent_until: now.after(SNAPSHOT_WITHIN), ..Beside::first(waits) }
+        Beside { silent_until: now.plus(SNAPSHOT_WITHIN), ..Beside::first(waits) }
     }
 
     /// Another process has started beside this one.
@@ -97,7 +97,7 @@
         let Some(beside) = &mut self.beside else { return };
         for drain in drains {
             if beside.drains.insert(drain.endpoint.clone()) && beside.waits.add_drain(&drain).is_err() {
-                beside.again_at = now.after(AGAIN);
+                beside.again_at = now.plus(AGAIN);
             }
         }
     }
@@ -116,7 +116,7 @@
         }
         let Some(to) = self.directory.number_of(&wait.endpoint) else { return };
         self.shared.counters.waits_told_beside.up();
-        self.ledger.wait(now, to, wait.until);
+        self.ledger.on_retry_after(now, to, wait.until);
         self.directory.told(to, wait.until);
         self.shared.invariants.told_wait(now, to, wait.until);
     }
@@ -127,7 +127,7 @@
         let Some(peer) = self.directory.peer(to) else { return };
         let wait = ToldWait { endpoint: peer.name.clone(), until };
         if let Err(e) = beside.waits.add(&self.shared.clock, &wait) {
-            beside.again_at = now.after(AGAIN);
+            beside.again_at = now.plus(AGAIN);
             tracing::warn!("waits: not shared with the other process yet: {e}");
         }
     }
@@ -145,7 +145,7 @@
             .map(|(endpoint, until)| ToldWait { endpoint: endpoint.to_owned(), until })
             .collect();
         if beside.waits.snapshot(&self.shared.clock, &waits, &drains).is_err() {
-            beside.again_at = now.after(AGAIN);
+            beside.again_at = now.plus(AGAIN);
         }
     }
 }
--- a/daemon/src/module/calls.rs
+++ b/daemon/src/module/calls.rs
@@ -5,26 +5,26 @@
 impl Module {
     pub(super) fn call(&mut self, now: Micros, n: u64, attempt: u32, to: ReceiverId, patience: Micros) {
         let Some(o) = self.ledger.get(n) else { return };
-        let t = &o.taken;
+        let t = &o.accepted;
         if o.attempts > 0 {
             self.shared.counters.retried.up();
         }
-        tracing::debug!(id = t.id, attempt, to = to.0, earlier = o.attempts, "attempt decided");
-        let called_off = self.ledger.calls_off().then(|| {
+        tracing::debug!(id = t.request_id, attempt, to = to.0, earlier = o.attempts, "attempt decided");
+        let called_off = self.ledger.can_cancel_attempts().then(|| {
             let (wanted, called_off) = bounded(1);
             self.out.insert((n, attempt), wanted);
             called_off
         });
         self.hand(OutboundCall {
             called_off,
-            harmful: self.ledger.harmful(n),
+            harmful: self.ledger.unsafe_to_repeat(n),
             n,
             attempt,
             to,
             endpoint: self.endpoint_name(to),
-            id: t.id.clone(),
-            key: t.key.clone(),
-            note: t.note.clone(),
+            id: t.request_id.clone(),
+            key: t.idempotency_key.clone(),
+            note: t.frontend_note.clone(),
             body: t.body.clone(),
             started: now,
             patience,
@@ -68,22 +68,28 @@
         }
     }
 
-    pub(super) fn tell(&mut self, n: u64, end: End) {
+    pub(super) fn tell(&mut self, n: u64, end: FinalStatus) {
         let Some(o) = self.ledger.get(n) else { return };
         match end {
-            End::Failed => self.shared.counters.failed.up(),
-            End::Returned(_) => self.shared.counters.returned.up(),
-            End::Delivered => {}
+            FinalStatus::Failed => self.shared.counters.failed.up(),
+            FinalStatus::Returned(_) => self.shared.counters.returned.up(),
+            FinalStatus::Delivered => {}
         }
-        let t = &o.taken;
-        let (id, attempts) = (&t.id, o.attempts);
-        tracing::debug!(id, attempts, may_have_run = o.maybe_ran.is_some(), "request ended: {end:?}");
-        let ending = Ending { n, id: t.id.clone(), note: t.note.clone(), deadline: t.deadline, end };
+        let t = &o.accepted;
+        let (id, attempts) = (&t.request_id, o.attempts);
+        tracing::debug!(
+            id,
+            attempts,
+            may_have_run = o.first_possible_run.is_some(),
+            "request ended: {end:?}"
+        );
+        let ending =
+            Ending { n, id: t.request_id.clone(), note: t.frontend_note.clone(), deadline: t.deadline, end };
         self.pass(ending);
     }
 
     pub(super) fn pass(&mut self, ending: Ending) -> bool {
-        let front = self.ledger.get(ending.n).map_or(0, |o| o.taken.front);
+        let front = self.ledger.get(ending.n).map_or(0, |o| o.accepted.frontend);
         match self.fronts.get(&front).map(|f| f.try_send(ending)) {
             Some(Err(TrySendError::Full(ending))) => {
                 self.waiting.push_front(ending);
@@ -93,11 +99,11 @@
         }
     }
 
-    pub(super) fn answered(&mut self, now: Micros, a: &Answered) {
+    pub(super) fn answered(&mut self, now: Micros, a: &AttemptOutcome) {
         if let Some(p) = &mut self.probing {
-            p.ended(a.n);
+            p.ended(a.number);
         }
-        self.out.remove(&(a.n, a.attempt));
+        self.out.remove(&(a.number, a.attempt));
         let c = &self.shared.counters;
         if a.verdict == Verdict::Stale {
             c.stale.up();
@@ -114,18 +120,18 @@
             Verdict::HeldBack => &c.held_back,
         }
         .up();
-        if a.told > Micros(0) {
+        if a.wait_until > Micros(0) {
             c.waits_told.up();
         }
-        if let Some(o) = self.ledger.get(a.n) {
-            let (id, attempt, elapsed_ms) = (&o.taken.id, a.attempt, a.elapsed.0 / 1000);
-            tracing::debug!(id, attempt, to = a.to.0, elapsed_ms, "attempt ended: {:?}", a.verdict);
+        if let Some(o) = self.ledger.get(a.number) {
+            let (id, attempt, elapsed_ms) = (&o.accepted.request_id, a.attempt, a.elapsed.0 / 1000);
+            tracing::debug!(id, attempt, to = a.receiver.0, elapsed_ms, "attempt ended: {:?}", a.verdict);
         }
-        self.directory.told(a.to, a.told);
-        self.shared.invariants.told_wait(now, a.to, a.told);
-        self.share_wait(now, a.to, a.told);
-        self.directory.ended(a.to);
-        let record = self.ledger.answered(now, a);
+        self.directory.told(a.receiver, a.wait_until);
+        self.shared.invariants.told_wait(now, a.receiver, a.wait_until);
+        self.share_wait(now, a.receiver, a.wait_until);
+        self.directory.ended(a.receiver);
+        let record = self.ledger.end_attempt(now, a);
         self.keep_later(record);
     }
 }
--- a/daemon/src/module/first_list.rs
+++ b/daemon/src/module/first_list.rs
@@ -23,8 +23,8 @@
 impl FirstList {
     /// That of a start at this time.
     pub fn new(start: Micros) -> FirstList {
-        let (wait_until, blind_from) = (start.after(WAIT), start.after(GRACE));
-        FirstList { wait_until, blind_from, blind_until: start.after(BLIND) }
+        let (wait_until, blind_from) = (start.plus(WAIT), start.plus(GRACE));
+        FirstList { wait_until, blind_from, blind_until: start.plus(BLIND) }
     }
 
     /// The call for the list failed: there is nothing to wait for in the grace.
--- a/daemon/src/module/guard.rs
+++ b/daemon/src/module/guard.rs
@@ -3,8 +3,8 @@
 
 use super::Module;
 use crate::counters::Count;
-use onyxrock::core::AttemptRefused;
-use onyxrock::interface::{Leave, Micros, ReceiverId, Verdict};
+use onyxrock::core::AttemptDenied;
+use onyxrock::interface::{Micros, ReceiverId, SendRecheck, Verdict};
 
 /// What the guard allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -52,17 +52,17 @@
                 if in_maintenance { &counters.held_back_maintenance } else { &counters.held_back_drain };
             return held_back(why);
         }
-        match self.ledger.leave(now, asks.n, asks.attempt, asks.to) {
-            Leave::Wait => return held_back(&counters.held_back_wait),
-            Leave::Late => return held_back(&counters.held_back_late),
-            Leave::Over => return Err(Verdict::Moot),
-            Leave::Go => {}
+        match self.ledger.recheck_send(now, asks.n, asks.attempt, asks.to) {
+            SendRecheck::WithinRetryAfter => return held_back(&counters.held_back_wait),
+            SendRecheck::NoLongerAllowed => return held_back(&counters.held_back_late),
+            SendRecheck::MessageEnded => return Err(Verdict::Moot),
+            SendRecheck::Allowed => {}
         }
-        let valid_until = self.ledger.sends_end(asks.n, asks.attempt).unwrap_or(Micros(u64::MAX));
+        let valid_until = self.ledger.send_deadline(asks.n, asks.attempt).unwrap_or(Micros(u64::MAX));
         if asks.begun {
             return Ok(Permit { epoch: 0, valid_until, repeat: false, logged: true });
         }
-        if self.ledger.probing(asks.n) {
+        if self.ledger.probe_is_open(asks.n) {
             return self.probe_may_go(now, asks.n, valid_until);
         }
         self.attempt_may_go(now, asks, valid_until)
@@ -80,18 +80,21 @@
     /// An attempt that is not in the log could be made again after a restart.
     fn attempt_may_go(&mut self, now: Micros, asks: Asks, valid_until: Micros) -> Gate {
         let Some(peer) = self.directory.peer(asks.to) else { return Err(Verdict::Moot) };
-        let repeat = self.ledger.get(asks.n).is_some_and(|o| o.maybe_ran.is_some() || !o.out.is_empty());
-        let record = match self.ledger.attempt(asks.n, asks.attempt, &peer.name, &peer.zone, now) {
+        let repeat = self
+            .ledger
+            .get(asks.n)
+            .is_some_and(|o| o.first_possible_run.is_some() || !o.in_flight.is_empty());
+        let record = match self.ledger.begin_attempt(asks.n, asks.attempt, &peer.name, &peer.zone, now) {
             Ok(record) => record,
-            Err(AttemptRefused::Over) => return Err(Verdict::Moot),
-            Err(AttemptRefused::Repeat) => {
+            Err(AttemptDenied::NotOpen) => return Err(Verdict::Moot),
+            Err(AttemptDenied::RepeatForbidden) => {
                 self.shared.counters.held_back_repeat.up();
                 tracing::error!(n = asks.n, attempt = asks.attempt, "a repeat that its class does not allow");
                 return Err(Verdict::HeldBack);
             }
         };
         if !self.keep_now(std::slice::from_ref(&record)) {
-            self.ledger.unsent(asks.n, asks.attempt);
+            self.ledger.undo_attempt(asks.n, asks.attempt);
             return Err(Verdict::Moot);
         }
         Ok(Permit { epoch: 0, valid_until, repeat, logged: true })
--- a/daemon/src/module/listing.rs
+++ b/daemon/src/module/listing.rs
@@ -15,10 +15,10 @@
                 kind: u16::try_from(g.kind).unwrap_or(u16::MAX),
                 destination: g.destination,
                 weight: g.weight as f32,
-                listing: Listing::Ready,
+                listing: EntryState::Ready,
             },
         );
-        self.ledger.list(now, Event::Known(vec![entry]));
+        self.ledger.on_list_event(now, Event::CachedEntries(vec![entry]));
         let mailbox = gateway::start(&self.shared, g, self.room());
         self.mailboxes.insert(to, mailbox);
     }
@@ -35,13 +35,13 @@
         self.shared.counters.wakes.up();
         self.order(follows.orders);
         match self.assumed {
-            Some(assumed) => self.ledger.wake(now, destination, woken.whole, woken.each, assumed),
+            Some(assumed) => self.ledger.activate(now, destination, woken.whole, woken.each, assumed),
             None => {
                 let (entries, known): (Vec<_>, Vec<_>) = woken.each.into_iter().unzip();
                 let numbers: Vec<_> = entries.iter().map(|e| e.receiver).collect();
-                self.ledger.list(now, Event::Known(entries));
+                self.ledger.on_list_event(now, Event::CachedEntries(entries));
                 for (to, repute) in numbers.into_iter().zip(known) {
-                    self.ledger.recall(now, to, repute);
+                    self.ledger.restore_receiver(now, to, repute);
                 }
             }
         }
@@ -72,19 +72,19 @@
     pub(super) fn follow_up(&mut self, now: Micros, follows: Follows) {
         self.order(follows.orders);
         follows.entries.iter().for_each(|e| self.shared.invariants.listed(now, e));
-        for entry in follows.entries.iter().filter(|e| e.listing != Listing::Ready) {
+        for entry in follows.entries.iter().filter(|e| e.state != EntryState::Ready) {
             if let Some(peer) = self.directory.peer(entry.receiver) {
                 let (endpoint, to) = (&peer.name, entry.receiver.0);
-                tracing::info!(endpoint, to, "list: nothing more goes there: {:?}", entry.listing);
+                tracing::info!(endpoint, to, "list: nothing more goes there: {:?}", entry.state);
             }
         }
         if !follows.entries.is_empty() {
-            self.ledger.list(now, Event::Known(follows.entries));
+            self.ledger.on_list_event(now, Event::CachedEntries(follows.entries));
         }
         for (to, repute) in follows.recalled {
-            self.ledger.recall(now, to, repute);
+            self.ledger.restore_receiver(now, to, repute);
         }
-        follows.restarted.into_iter().for_each(|to| self.ledger.restarted(now, to));
+        follows.restarted.into_iter().for_each(|to| self.ledger.on_receiver_restart(now, to));
     }
 
     pub(super) fn put(&mut self, now: Micros, e: Endpoint<'_>, follows: &mut Follows) {
@@ -140,7 +140,7 @@
         self.shared.counters.list_old.set(0);
         self.shared.counters.listed.set(self.directory.listed());
         *self.shared.list.borrow_mut() = Held::Current;
-        self.ledger.list(now, Event::ListChanges(Vec::new()));
+        self.ledger.on_list_event(now, Event::ListChanges(Vec::new()));
         self.list_of(now, Some(generation));
     }
 
@@ -149,7 +149,7 @@
         let mut follows = Follows::default();
         self.directory.tidy(now, &mut follows);
         while let Some(destination) = self.directory.tired(now) {
-            let Some((whole, each)) = self.ledger.rest(now, destination) else { continue };
+            let Some((whole, each)) = self.ledger.deactivate(now, destination) else { continue };
             self.shared.counters.rests.up();
             self.directory.rested(now, destination, whole, &each, &mut follows);
         }
@@ -177,7 +177,7 @@
         let all = self.directory.memories().iter().map(|(w, m)| (w.clone(), *m)).collect();
         // While one is still being written the next waits.
         if keep.try_send(all).is_ok() {
-            self.keep_at = (now.after(KEEP_EVERY), changes);
+            self.keep_at = (now.plus(KEEP_EVERY), changes);
         }
     }
 }
--- a/daemon/src/module/maintenance.rs
+++ b/daemon/src/module/maintenance.rs
@@ -46,7 +46,7 @@
         match self.maintenance_file.change(change) {
             Ok(()) => MaintenanceAnswer::Done,
             Err(e) => {
-                self.maintenance_again_at = now.after(AGAIN);
+                self.maintenance_again_at = now.plus(AGAIN);
                 MaintenanceAnswer::NotKept(e.to_string())
             }
         }
@@ -64,7 +64,7 @@
         }
         match self.maintenance_file.write() {
             Ok(()) => tracing::info!("maintenance: what waited is written"),
-            Err(_) => self.maintenance_again_at = now.after(AGAIN),
+            Err(_) => self.maintenance_again_at = now.plus(AGAIN),
         }
     }
 
--- a/daemon/src/module/messages.rs
+++ b/daemon/src/module/messages.rs
@@ -6,7 +6,7 @@
 use crate::maintenance::Change;
 use crate::shared_waits::Shared;
 use async_channel::Sender;
-use onyxrock::core::{Answered, End, Names, Taken};
+use onyxrock::core::{AcceptedMessage, AttemptOutcome, FinalStatus, NameIndex};
 use onyxrock::interface::{Micros, ReceiverId, Settings};
 use onyxrock_config::list::List;
 use onyxrock_sharing::FromPeers;
@@ -15,7 +15,7 @@
 
 #[derive(Debug)]
 pub struct HandIn {
-    pub taken: Taken,
+    pub taken: AcceptedMessage,
     pub reply: Sender<Reply>,
 }
 
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub struct LiveSettings {
     pub settings: Settings,
-    pub names: Names,
+    pub names: NameIndex,
 }
 
 /// The module's mailbox.
@@ -60,7 +60,7 @@
         to: ReceiverId,
         until: Micros,
     },
-    Answered(Answered),
+    Answered(AttemptOutcome),
     List(List),
     /// One part of a list that is too long for one message.
     Part(Part),
@@ -113,5 +113,5 @@
     pub id: String,
     pub note: String,
     pub deadline: Micros,
-    pub end: End,
+    pub end: FinalStatus,
 }
--- a/daemon/src/module/records.rs
+++ b/daemon/src/module/records.rs
@@ -2,7 +2,7 @@
 //! refused then, and what has happened already waits, in order, until it can be written.
 
 use super::Module;
-use onyxrock::core::{Owed, Record};
+use onyxrock::core::{OpenMessage, Record};
 use onyxrock::interface::Micros;
 use std::collections::VecDeque;
 
@@ -37,7 +37,7 @@
         let Some(record) = record else { return };
         if !self.unwritten.records.is_empty() || !self.append(std::slice::from_ref(&record)) {
             self.unwritten.records.push_back(record);
-            self.unwritten.again_at = self.shared.clock.now().after(AGAIN);
+            self.unwritten.again_at = self.shared.clock.now().plus(AGAIN);
             self.shared.counters.wal_waiting.set(self.unwritten.records.len());
         }
     }
@@ -45,7 +45,7 @@
     /// Writes what waits, if it is time.
     pub(super) fn retry_waiting(&mut self, now: Micros) {
         if self.unwritten.due().is_some_and(|due| due <= now) && !self.write_waiting() {
-            self.unwritten.again_at = now.after(AGAIN);
+            self.unwritten.again_at = now.plus(AGAIN);
         }
     }
 
@@ -54,7 +54,7 @@
             return true;
         }
         let written = if self.unwritten.records.len() > WAITING_MOST {
-            self.wal.compact(self.ledger.owed()).is_ok()
+            self.wal.compact(self.ledger.open_messages()).is_ok()
         } else {
             let waiting: Vec<_> = self.unwritten.records.iter().cloned().collect();
             self.append(&waiting)
@@ -69,7 +69,7 @@
 
     fn append(&mut self, records: &[Record]) -> bool {
         let (ledger, before) = (&self.ledger, self.wal.compactions);
-        let owed = || -> Box<dyn Iterator<Item = &Owed>> { Box::new(ledger.owed()) };
+        let owed = || -> Box<dyn Iterator<Item = &OpenMessage>> { Box::new(ledger.open_messages()) };
         let kept = self.wal.append(records, owed);
         if self.wal.compactions != before {
             self.shared.counters.wal_compactions.up();
--- a/daemon/src/module/takeover.rs
+++ b/daemon/src/module/takeover.rs
@@ -7,19 +7,19 @@
     pub fn knows(&mut self, records: &[Record]) {
         self.seen = records
             .iter()
-            .filter_map(|r| if let Record::Taken(t) = r { Some(whose(t)) } else { None })
+            .filter_map(|r| if let Record::Accepted(t) = r { Some(whose(t)) } else { None })
             .collect();
     }
 
     /// Takes over what an earlier process owed.
-    pub fn resume(&mut self, owed: impl IntoIterator<Item = Owed>) {
+    pub fn resume(&mut self, owed: impl IntoIterator<Item = OpenMessage>) {
         for o in owed {
             self.shared.counters.resumed.up();
             let now = self.shared.clock.now();
-            let (n, given) = (o.taken.n, o.given);
-            self.used(now, o.taken.destination);
-            if o.taken.deadline < now {
-                self.shared.invariants.found_overdue(&o.taken.id);
+            let (n, given) = (o.accepted.number, o.final_status);
+            self.used(now, o.accepted.destination);
+            if o.accepted.deadline < now {
+                self.shared.invariants.found_overdue(&o.accepted.request_id);
             }
             if self.ledger.resume(now, o)
                 && let Some(end) = given
@@ -33,21 +33,21 @@
     /// logs has left it in both: who is owed already, or was taken over before and has ended since, is known by its id.
     pub(super) fn copy(&mut self, left: &Left) -> std::io::Result<()> {
         let scan = left.scan()?;
-        if scan.damaged > 0 {
-            tracing::warn!("log: {} bytes of another process belong to no whole record", scan.damaged);
+        if scan.damaged_bytes > 0 {
+            tracing::warn!("log: {} bytes of another process belong to no whole record", scan.damaged_bytes);
         }
-        let known: BTreeSet<_> = self.ledger.owed().map(|o| whose(&o.taken)).collect();
+        let known: BTreeSet<_> = self.ledger.open_messages().map(|o| whose(&o.accepted)).collect();
         let mut owed: Vec<_> = recover(scan.records).into_values().collect();
-        owed.retain(|o| !known.contains(&whose(&o.taken)) && !self.seen.contains(&whose(&o.taken)));
-        owed.iter_mut().for_each(|o| o.taken.n = self.ledger.number());
-        let records: Vec<_> = owed.iter().flat_map(Owed::records).collect();
+        owed.retain(|o| !known.contains(&whose(&o.accepted)) && !self.seen.contains(&whose(&o.accepted)));
+        owed.iter_mut().for_each(|o| o.accepted.number = self.ledger.allocate_number());
+        let records: Vec<_> = owed.iter().flat_map(OpenMessage::records).collect();
         if !records.is_empty() && !self.keep_now(&records) {
             return Err(std::io::ErrorKind::StorageFull.into());
         }
         if !owed.is_empty() {
             tracing::info!("log: {} messages of another process are taken over", owed.len());
         }
-        self.seen.extend(owed.iter().map(|o| whose(&o.taken)));
+        self.seen.extend(owed.iter().map(|o| whose(&o.accepted)));
         self.resume(owed);
         Ok(())
     }
--- a/daemon/src/module/tests.rs
+++ b/daemon/src/module/tests.rs
@@ -2,24 +2,25 @@
 
 use super::*;
 use onyxrock::interface::{ClassSettings, Effect, KindSettings, Settings};
-use onyxrock::interface::{DestinationId, Entry, KindId, ZoneId};
+use onyxrock::interface::{DestinationId, KindId, ListEntry, ZoneId};
 use onyxrock_config::list::Listed;
 use onyxrock_roster::{Rules, Terms};
 use rstest::rstest;
 
 fn module(folder: &std::path::Path) -> Module {
     let shared = Shared::alone(bounded(8).0);
-    let class = ClassSettings { give_up: Micros(9_000_000), effect: Effect::Unsafe, ..Default::default() };
+    let class =
+        ClassSettings { give_up_after: Micros(9_000_000), effect: Effect::Unsafe, ..Default::default() };
     let settings = Settings {
         classes: vec![class],
-        kinds: vec![KindSettings { apart: false, batch: 1 }],
+        kinds: vec![KindSettings { separate_routes: false, messages_per_call: 1 }],
         slots: 4,
         max_held: 9,
         max_attempts: 3,
         ..Settings::default()
     };
     let classes = [("a".to_owned(), 0)].into_iter().collect();
-    let names = onyxrock::core::Names { classes, ..Default::default() };
+    let names = onyxrock::core::NameIndex { classes, ..Default::default() };
     let ledger = Ledger::new(settings, names, Default::default(), 1);
     let wal = Wal::open(folder, 1_000_000).unwrap().0;
     let rules = Rules { most: 100, rest: None, terms: Terms::default(), zones: BTreeMap::new() };
@@ -37,19 +38,25 @@
     std::fs::create_dir_all(&folder).unwrap();
     let mut m = module(&folder);
     let now = m.shared.clock.now();
-    m.list(now, list(Listing::Ready));
+    m.list(now, list(EntryState::Ready));
     m.used(now, 1);
-    let deadline = now.after(Micros(5_000_000));
-    let taken = Taken { n: 1, class: "a".into(), destination: 1, deadline, ..Taken::default() };
-    assert!(m.keep_now(&[Record::Taken(taken.clone())]));
-    m.ledger.take(now, taken);
+    let deadline = now.plus(Micros(5_000_000));
+    let taken = AcceptedMessage {
+        number: 1,
+        class: "a".into(),
+        destination: 1,
+        deadline,
+        ..AcceptedMessage::default()
+    };
+    assert!(m.keep_now(&[Record::Accepted(taken.clone())]));
+    m.ledger.accept(now, taken);
     (folder, m, now)
 }
 
-fn list(listing: Listing) -> List {
-    let entry = Entry {
+fn list(listing: EntryState) -> List {
+    let entry = ListEntry {
         receiver: ReceiverId(0),
-        listing,
+        state: listing,
         destination: DestinationId(1),
         kind: KindId(0),
         zone: ZoneId(0),
@@ -67,25 +74,25 @@
     std::fs::create_dir_all(&folder).unwrap();
     let mut m = module(&folder);
     let now = m.shared.clock.now();
-    m.list(now, list(Listing::Ready));
+    m.list(now, list(EntryState::Ready));
     m.used(now, 1);
-    let taken = Taken {
-        n: 1,
+    let taken = AcceptedMessage {
+        number: 1,
         class: "a".into(),
         destination: 1,
-        deadline: now.after(Micros(5_000_000)),
-        ..Taken::default()
+        deadline: now.plus(Micros(5_000_000)),
+        ..AcceptedMessage::default()
     };
-    m.ledger.take(now, taken);
+    m.ledger.accept(now, taken);
     let mut steps = Vec::new();
     m.ledger.decide(now, true, &mut steps);
-    assert!(matches!(steps[0], Step::Call { n: 1, .. }));
+    assert!(matches!(steps[0], LedgerAction::Call { number: 1, .. }));
     assert_eq!(m.writing(now, asks(1, false)), Err(Verdict::Moot), "no such attempt");
     m.hold = true;
     assert_eq!(m.writing(now, asks(0, false)), Err(Verdict::HeldBack), "the process ends");
     m.hold = false;
-    m.list(now, list(Listing::Draining));
-    assert_eq!(m.writing(now.after(Micros(900_000)), asks(0, false)), Err(Verdict::HeldBack), "too late");
+    m.list(now, list(EntryState::Draining));
+    assert_eq!(m.writing(now.plus(Micros(900_000)), asks(0, false)), Err(Verdict::HeldBack), "too late");
     assert_eq!(m.writing(now, asks(0, false)), Err(Verdict::HeldBack), "at once, however late the list came");
     std::fs::remove_dir_all(&folder).unwrap();
 }
@@ -111,20 +118,29 @@
 
 /// Where lists are pushed, the list that a start has from before may be old: nothing goes out on it for a moment.
 #[rstest]
-#[case::it_drains(Some(Listing::Draining), 0)]
-#[case::it_is_there(Some(Listing::Ready), 1)]
+#[case::it_drains(Some(EntryState::Draining), 0)]
+#[case::it_is_there(Some(EntryState::Ready), 1)]
 #[case::no_list_comes(None, 1)]
-fn nothing_goes_out_before_the_first_list(#[case] told: Option<Listing>, #[case] calls: usize) {
+fn nothing_goes_out_before_the_first_list(#[case] told: Option<EntryState>, #[case] calls: usize) {
     let folder = std::env::temp_dir().join(format!("onyxrock-module-first-{}", std::process::id()));
     let folder = folder.join(format!("{told:?}-{calls}"));
     std::fs::create_dir_all(&folder).unwrap();
     let mut m = module(&folder);
     let now = m.shared.clock.now();
-    m.known(list(Listing::Ready));
+    m.known(list(EntryState::Ready));
     m.first_list = Some(FirstList::new(now));
     m.used(now, 1);
-    let deadline = now.after(Micros(5_000_000));
-    m.ledger.take(now, Taken { n: 1, class: "a".into(), destination: 1, deadline, ..Taken::default() });
+    let deadline = now.plus(Micros(5_000_000));
+    m.ledger.accept(
+        now,
+        AcceptedMessage {
+            number: 1,
+            class: "a".into(),
+            destination: 1,
+            deadline,
+            ..AcceptedMessage::default()
+        },
+    );
     m.settle();
     let queued = |m: &Module| m.mailboxes.values().map(Sender::len).sum::<usize>();
     assert_eq!(queued(&m), 0);
@@ -143,9 +159,9 @@
 #[test]
 fn a_call_is_not_written_to_where_its_endpoint_was() {
     let (folder, mut m, now) = busy("moved");
-    let at = list(Listing::Ready).entries[0].address;
+    let at = list(EntryState::Ready).entries[0].address;
     m.ledger.decide(now, true, &mut Vec::new());
-    let mut moved = list(Listing::Ready);
+    let mut moved = list(EntryState::Ready);
     moved.entries[0].address = "127.0.0.1:2".parse().unwrap();
     let there = moved.entries[0].address;
     m.list(now, moved);
@@ -167,21 +183,30 @@
     let mut steps = Vec::new();
     m.ledger.decide(now, true, &mut steps);
     let to = ReceiverId(1);
-    let (told, late) = (now.after(Micros(300_000)), now.after(Micros(900_000)));
+    let (told, late) = (now.plus(Micros(300_000)), now.plus(Micros(900_000)));
     assert!(m.writing(told, asks(0, false)).is_ok(), "nothing was told yet");
-    m.take(ToModule::Wait { to, until: told.after(Micros(2_000_000)) });
+    m.take(ToModule::Wait { to, until: told.plus(Micros(2_000_000)) });
     assert_eq!(m.writing(late, asks(0, true)), Err(Verdict::HeldBack), "its last byte would come too late");
     assert_eq!(m.shared.counters.held_back_wait.get(), 1);
     let (elapsed, verdict) = (late.since(now), Verdict::HeldBack);
     let (finished, limit) = (false, (None, None));
-    let held_back = Answered { n: 1, attempt: 0, to, verdict, elapsed, finished, limit, told: Micros(0) };
+    let held_back = AttemptOutcome {
+        number: 1,
+        attempt: 0,
+        receiver: to,
+        verdict,
+        elapsed,
+        finished,
+        load_report: limit,
+        wait_until: Micros(0),
+    };
     m.answered(late, &held_back);
-    assert_eq!(m.ledger.get(1).map(|o| (o.attempts, o.out.len())), Some((0, 0)));
+    assert_eq!(m.ledger.get(1).map(|o| (o.attempts, o.in_flight.len())), Some((0, 0)));
     m.ledger.decide(late, true, &mut steps);
     assert_eq!(steps.len(), 1, "nor is it decided on again");
-    let over = told.after(Micros(2_000_000));
+    let over = told.plus(Micros(2_000_000));
     m.ledger.decide(over, true, &mut steps);
-    assert!(matches!(steps[1..], [Step::Call { n: 1, attempt: 1, .. }]), "{steps:?}");
+    assert!(matches!(steps[1..], [LedgerAction::Call { number: 1, attempt: 1, .. }]), "{steps:?}");
     assert!(m.writing(over, asks(1, false)).is_ok());
     assert_eq!(m.ledger.get(1).map(|o| o.attempts), Some(1));
     std::fs::remove_dir_all(&folder).unwrap();
@@ -196,23 +221,30 @@
     let claim = crate::folder::Claim::take(&folder).unwrap();
     let mut m = module(&folder);
     let now = m.shared.clock.now();
-    let deadline = now.after(Micros(5_000_000));
+    let deadline = now.plus(Micros(5_000_000));
     let mut log = Vec::new();
     let id = "id-1".to_owned();
-    Record::Taken(Taken { n: 1, id, class: "a".into(), destination: 1, deadline, ..Taken::default() })
-        .write(&mut log);
+    Record::Accepted(AcceptedMessage {
+        number: 1,
+        request_id: id,
+        class: "a".into(),
+        destination: 1,
+        deadline,
+        ..AcceptedMessage::default()
+    })
+    .write(&mut log);
     std::fs::write(&claim.beside()[0], &log).unwrap();
     let Ok(crate::folder::Other::Free(left)) = claim.other() else { panic!("nobody is there") };
     m.copy(&left).unwrap();
-    let n = m.ledger.owed().next().expect("it is taken over").taken.n;
+    let n = m.ledger.open_messages().next().expect("it is taken over").accepted.number;
     m.take(ToModule::Told(n));
     m.copy(&left).unwrap();
-    assert_eq!(m.ledger.owed().count(), 0, "its log is still there");
+    assert_eq!(m.ledger.open_messages().count(), 0, "its log is still there");
     let scan = Wal::open(&folder, 1_000_000).unwrap().1;
     let mut next = module(&folder);
     next.knows(&scan.records);
     next.copy(&left).unwrap();
-    assert_eq!(next.ledger.owed().count(), 0, "killed before it could be cleared");
+    assert_eq!(next.ledger.open_messages().count(), 0, "killed before it could be cleared");
     next.take_over(&left).unwrap();
     assert!(!left.is_there() && next.seen.is_empty());
     std::fs::remove_dir_all(&folder).unwrap();
@@ -226,34 +258,39 @@
     let claim = crate::folder::Claim::take(&folder).unwrap();
     let mut m = module(&folder);
     let now = m.shared.clock.now();
-    m.list(now, list(Listing::Ready));
-    let deadline = now.after(Micros(5_000_000));
-    let taken = |n: u64| Taken {
-        n,
-        id: format!("id-{n}"),
+    m.list(now, list(EntryState::Ready));
+    let deadline = now.plus(Micros(5_000_000));
+    let taken = |n: u64| AcceptedMessage {
+        number: n,
+        request_id: format!("id-{n}"),
         class: "a".into(),
         destination: 1,
         deadline,
-        ..Taken::default()
+        ..AcceptedMessage::default()
     };
     let (endpoint, zone) = ("e".to_owned(), "z".to_owned());
     let mut log = Vec::new();
-    Record::Taken(taken(1)).write(&mut log);
-    Record::Taken(taken(2)).write(&mut log);
-    Record::Attempt { n: 2, attempt: 0, endpoint, zone, at: now }.write(&mut log);
-    m.ledger.take(now, Taken { n: 1, id: "ours".into(), ..taken(1) });
+    Record::Accepted(taken(1)).write(&mut log);
+    Record::Accepted(taken(2)).write(&mut log);
+    Record::Attempt { number: 2, attempt: 0, endpoint, zone, at: now }.write(&mut log);
+    m.ledger.accept(now, AcceptedMessage { number: 1, request_id: "ours".into(), ..taken(1) });
     for _ in 0..2 {
         std::fs::write(&claim.beside()[0], &log).unwrap();
         let Ok(crate::folder::Other::Free(left)) = claim.other() else { panic!("nobody is there") };
         m.adopt(&left);
         assert!(!left.is_there());
     }
-    let owed: Vec<_> =
-        m.ledger.owed().map(|o| (o.taken.n, o.taken.id.as_str(), o.maybe_ran.is_some())).collect();
+    let owed: Vec<_> = m
+        .ledger
+        .open_messages()
+        .map(|o| (o.accepted.number, o.accepted.request_id.as_str(), o.first_possible_run.is_some()))
+        .collect();
     assert_eq!(owed, [(1, "ours", false), (2, "id-1", false), (3, "id-2", true)]);
     let mut steps = Vec::new();
     m.ledger.decide(now, true, &mut steps);
-    let ended = |s: &Step| matches!(s, Step::End { n: 3, end: End::Failed });
+    let ended = |s: &LedgerAction| {
+        matches!(s, LedgerAction::ReportFinalStatus { number: 3, status: FinalStatus::Failed })
+    };
     assert_eq!(steps.iter().filter(|s| ended(s)).count(), 1, "unsafe: not repeated");
     std::fs::remove_dir_all(&folder).unwrap();
 }
@@ -263,7 +300,7 @@
 #[test]
 fn a_start_without_its_first_list_sends_within_the_grace_alone() {
     let start = Micros(1_000_000_000);
-    let at = |ms: u64| start.after(Micros(ms * 1000));
+    let at = |ms: u64| start.plus(Micros(ms * 1000));
     let mut first_list = FirstList::new(start);
     assert!(first_list.holds(start));
     first_list.failed(at(30));
@@ -286,11 +323,18 @@
     // The log has no room at all.
     m.wal = Wal::open(&folder, 0).unwrap().0;
     let n = 1;
-    m.keep_later(Some(Record::Outcome { n, attempt: 0, end: onyxrock::core::CallEnd::NeverRan }));
-    m.keep_later(Some(Record::Over(n)));
+    m.keep_later(Some(Record::Outcome {
+        number: n,
+        attempt: 0,
+        status: onyxrock::core::AttemptStatus::NeverRan,
+    }));
+    m.keep_later(Some(Record::Closed(n)));
     assert_eq!(std::fs::read(&log).unwrap(), before, "nothing was written");
     assert_eq!(m.shared.counters.wal_waiting.get(), 2);
-    assert!(!m.keep_now(&[Record::Taken(Taken { n: 2, ..Taken::default() })]), "and nothing is taken on");
+    assert!(
+        !m.keep_now(&[Record::Accepted(AcceptedMessage { number: 2, ..AcceptedMessage::default() })]),
+        "and nothing is taken on"
+    );
     assert!(logged().contains_key(&n));
     let due = m.unwritten.due().expect("it is tried again");
     m.wal = Wal::open(&folder, 1_000_000).unwrap().0;
@@ -305,13 +349,17 @@
 fn a_record_goes_behind_those_that_wait() {
     let (folder, mut m, now) = busy("behind");
     m.wal = Wal::open(&folder, 0).unwrap().0;
-    m.keep_later(Some(Record::Given { n: 1, end: End::Failed }));
+    m.keep_later(Some(Record::FinalStatus { number: 1, status: FinalStatus::Failed }));
     m.wal = Wal::open(&folder, 1_000_000).unwrap().0;
-    let taken = Taken { n: 2, deadline: now.after(Micros(5_000_000)), ..Taken::default() };
-    assert!(m.keep_now(&[Record::Taken(taken)]));
+    let taken =
+        AcceptedMessage { number: 2, deadline: now.plus(Micros(5_000_000)), ..AcceptedMessage::default() };
+    assert!(m.keep_now(&[Record::Accepted(taken)]));
     let records = Wal::open(&folder, 1_000_000).unwrap().1.records;
     assert!(
-        matches!(records[..], [Record::Taken(_), Record::Given { n: 1, .. }, Record::Taken(_)]),
+        matches!(
+            records[..],
+            [Record::Accepted(_), Record::FinalStatus { number: 1, .. }, Record::Accepted(_)]
+        ),
         "{records:?}"
     );
     std::fs::remove_dir_all(&folder).unwrap();
@@ -327,7 +375,7 @@
     assert_eq!(m.maintenance_call(now, change("e", true)), MaintenanceAnswer::Done);
     assert_eq!(m.writing(now, asks(0, false)), Err(Verdict::HeldBack));
     assert_eq!(m.shared.counters.held_back_maintenance.get(), 1);
-    m.list(now, list(Listing::Ready));
+    m.list(now, list(EntryState::Ready));
     assert_eq!(m.writing(now, asks(0, false)), Err(Verdict::HeldBack), "whatever the list says");
     assert_eq!(m.maintenance_call(now, change("e", false)), MaintenanceAnswer::Done);
     assert!(m.writing(now, asks(0, false)).is_ok());
@@ -353,30 +401,39 @@
 
 /// A process that ends sends nothing new, and owes the ends of what it still has: nobody else can tell them before it is gone.
 #[rstest]
-#[case::untried(false, End::Returned(None))]
-#[case::may_have_run(true, End::Failed)]
-fn a_process_that_ends_tells_ends_in_time(#[case] called: bool, #[case] end: End) {
+#[case::untried(false, FinalStatus::Returned(None))]
+#[case::may_have_run(true, FinalStatus::Failed)]
+fn a_process_that_ends_tells_ends_in_time(#[case] called: bool, #[case] end: FinalStatus) {
     let (folder, mut m, now) = busy(&format!("expiry-{called}"));
     m.ledger.decide(now, true, &mut Vec::new());
     if called {
         assert!(m.writing(now, asks(0, false)).is_ok());
     }
     m.take(ToModule::Hold);
-    let deadline = m.ledger.get(1).expect("it is owed").taken.deadline;
+    let deadline = m.ledger.get(1).expect("it is owed").accepted.deadline;
     assert_eq!(m.due(now), (!called).then_some(deadline), "a call that is out is waited for");
     let verdict = if called { Verdict::TimedOut } else { Verdict::HeldBack };
     let (finished, limit, told) = (false, (None, None), Micros(0));
     let elapsed = Micros(1);
     m.answered(
         now,
-        &Answered { n: 1, attempt: 0, to: ReceiverId(1), verdict, elapsed, finished, limit, told },
+        &AttemptOutcome {
+            number: 1,
+            attempt: 0,
+            receiver: ReceiverId(1),
+            verdict,
+            elapsed,
+            finished,
+            load_report: limit,
+            wait_until: told,
+        },
     );
     assert_eq!(m.due(now), Some(deadline));
     let mut steps = Vec::new();
     m.ledger.expire(Micros(deadline.0 - 1), &mut steps);
     assert_eq!(steps, []);
     m.ledger.expire(deadline, &mut steps);
-    assert_eq!(steps, [Step::End { n: 1, end }]);
+    assert_eq!(steps, [LedgerAction::ReportFinalStatus { number: 1, status: end }]);
     assert_eq!(m.due(now), None);
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/daemon/src/net/http/client.rs
+++ b/daemon/src/net/http/client.rs
@@ -137,7 +137,7 @@
             if self.buffer.is_empty() {
                 clock.before(until, self.more()).await.unwrap_or(Err(Lost::TimedOut))?;
             }
-            let soon = clock.now().after(TAIL);
+            let soon = clock.now().plus(TAIL);
             let read = clock.before(soon, self.head()).await;
             match read.unwrap_or(Err(Lost::Spoilt("a head without end".into()))) {
                 Ok(interim) if (100..200).contains(&interim.status) => {}
--- a/daemon/src/net/http/endpoint.rs
+++ b/daemon/src/net/http/endpoint.rs
@@ -8,7 +8,7 @@
 use crate::net::{OutboundCall, Shared, ToEndpoint};
 use async_channel::{Receiver, Sender, bounded};
 use futures_lite::future;
-use onyxrock::core::Answered;
+use onyxrock::core::AttemptOutcome;
 use onyxrock::interface::{Micros, Verdict};
 use std::cell::Cell;
 use std::fmt::Write;
@@ -37,7 +37,7 @@
     let mut idle: Vec<Idle> = Vec::new(); // the longest idle first
     let mut keeps = true; // what comes back: not after idle ones were given back, until the next call
     loop {
-        let oldest = idle.first().and_then(|i| Some(i.since.after(shared.idle_for?)));
+        let oldest = idle.first().and_then(|i| Some(i.since.plus(shared.idle_for?)));
         let back = async { (None, given_back.recv().await.ok()) };
         let next = async { (Some(inbox.recv().await), None) };
         let retire = async {
@@ -136,10 +136,10 @@
     };
     let (verdict, answer, conn) = future::or(attempt(&shared, address, &call, idle, &told), called_off).await;
     let load = answer.as_ref().and_then(|a| a.load.as_deref()).map(report).unwrap_or_default();
-    let answered = Answered {
+    let answered = AttemptOutcome {
         finished: answer.as_ref().is_some_and(|a| a.status == 410),
-        limit: load,
-        told: told.get(),
+        load_report: load,
+        wait_until: told.get(),
         ..call.answered(shared.clock.now(), verdict)
     };
     if matches!(verdict, Verdict::TimedOut | Verdict::Reset | Verdict::Stale) {
@@ -149,7 +149,7 @@
     let sound = match (answer, conn) {
         // A delivery needed the first line only; the connection is good for another call after the rest.
         (Some(mut answer), Some(mut conn)) => {
-            let tail = shared.clock.now().after(TAIL);
+            let tail = shared.clock.now().plus(TAIL);
             let again = shared.clock.before(tail, conn.rest(&mut answer)).await;
             Some(conn).filter(|_| matches!(again, Some(Ok(true))))
         }
@@ -173,7 +173,7 @@
     let until = call.until();
     let (mut kept, mut rested) = (None, None);
     if let Some(Idle { since, conn }) = idle {
-        let settled = since.after(SETTLE);
+        let settled = since.plus(SETTLE);
         if settled > clock.now() {
             clock.until(Some(settled)).await;
         }
@@ -191,12 +191,12 @@
         None => {
             counters.outbound_open.up();
             counters.outbound_opened.up();
-            let by = until.min(clock.now().after(shared.connect_timeout));
+            let by = until.min(clock.now().plus(shared.connect_timeout));
             match clock.before(by, Conn::open(address, HEAD_MOST)).await {
                 Some(Ok(conn)) => conn,
                 Some(Err(e)) if is_local(&e) => {
                     counters.held_back_local.up();
-                    clock.until(Some(clock.now().after(LOCAL_PAUSE))).await;
+                    clock.until(Some(clock.now().plus(LOCAL_PAUSE))).await;
                     return (Verdict::HeldBack, None, None);
                 }
                 _ => return (Verdict::ConnectFailed, None, None),
@@ -260,7 +260,7 @@
     // A whole head tells a wait, which runs from now on, whatever the body does.
     if answer.status == 429 {
         match answer.again {
-            Again::After(wait) => told.set(clock.now().after(wait)),
+            Again::After(wait) => told.set(clock.now().plus(wait)),
             Again::Unread => counters.waits_unread.up(),
             Again::Unsaid => {}
         }
@@ -270,7 +270,7 @@
     }
     // That a call has not run is believed only of an answer that is whole.
     if answer.status != 200 {
-        let tail = clock.now().after(TAIL);
+        let tail = clock.now().plus(TAIL);
         match clock.before(tail, conn.rest(&mut answer)).await {
             Some(Ok(_)) => {}
             Some(Err(e)) => return spoilt(shared, address, &e.to_string()),
@@ -330,7 +330,7 @@
 fn report(load: &str) -> (Option<f64>, Option<f64>) {
     let v: serde_json::Value = serde_json::from_str(load).unwrap_or_default();
     let field = |name: &str| v.get(name).and_then(serde_json::Value::as_f64);
-    onyxrock::interface::report(field("x1"), field("x0"))
+    onyxrock::interface::load_report(field("x1"), field("x0"))
 }
 
 #[cfg(test)]
--- a/daemon/src/net/http/endpoint/tests.rs
+++ b/daemon/src/net/http/endpoint/tests.rs
@@ -54,7 +54,7 @@
         reply.try_send(says).unwrap();
         asks.begun
     }
-    fn answered(&self) -> Answered {
+    fn answered(&self) -> AttemptOutcome {
         match self.message() {
             ToModule::Answered(a) => a,
             other => panic!("{other:?}"),
@@ -192,9 +192,9 @@
         stream.shutdown(Shutdown::Write).unwrap();
     }
     let ToModule::Wait { to, until } = rig.message() else { panic!("the head was whole") };
-    assert_eq!((to, until >= before.after(Micros(2_500_000))), (ReceiverId(7), true));
+    assert_eq!((to, until >= before.plus(Micros(2_500_000))), (ReceiverId(7), true));
     let a = rig.answered();
-    assert_eq!((a.verdict, a.told), (verdict, until));
+    assert_eq!((a.verdict, a.wait_until), (verdict, until));
 }
 
 #[test]
@@ -213,6 +213,6 @@
             other => panic!("{other:?}"),
         }
     };
-    assert_eq!((a.verdict, a.told > Micros(0)), (Verdict::Cancelled, true));
-    assert!(told == Micros(0) || told == a.told);
+    assert_eq!((a.verdict, a.wait_until > Micros(0)), (Verdict::Cancelled, true));
+    assert!(told == Micros(0) || told == a.wait_until);
 }
--- a/daemon/src/net/http/inbound.rs
+++ b/daemon/src/net/http/inbound.rs
@@ -9,7 +9,7 @@
 use async_channel::{Receiver, Sender, bounded};
 use async_io::Async;
 use futures_lite::future;
-use onyxrock::core::Taken;
+use onyxrock::core::AcceptedMessage;
 use onyxrock::interface::Micros;
 use onyxrock_sharing::ToPeers;
 use percent_encoding::percent_decode_str;
@@ -112,7 +112,7 @@
     Counters,
     Members,
     Duties,
-    HandIn(Box<Taken>),
+    HandIn(Box<AcceptedMessage>),
 }
 
 /// A request that is answered with a client's error; the connection lasts where its framing is sound.
@@ -258,9 +258,9 @@
             let c = &self.shared.counters;
             let many = c.inbound_open.get() * MANY > self.shared.inbound_most;
             let until = match (self.answered, since) {
-                (false, _) => self.since.after(WHOLE),
-                (true, Some(at)) => at.after(WHOLE),
-                (true, None) => self.since.after(if many { QUIET_MANY } else { QUIET }),
+                (false, _) => self.since.plus(WHOLE),
+                (true, Some(at)) => at.plus(WHOLE),
+                (true, None) => self.since.plus(if many { QUIET_MANY } else { QUIET }),
             };
             let shared = self.shared;
             let fill = async { Some(self.buffer.fill(&mut self.stream).await) };
@@ -312,7 +312,7 @@
     /// read to its end.
     async fn sink(&mut self) {
         let _ = self.stream.get_ref().shutdown(std::net::Shutdown::Write);
-        let until = self.shared.clock.now().after(SINK_FOR);
+        let until = self.shared.clock.now().plus(SINK_FOR);
         let mut sink = Buffer::new(HEAD_MOST);
         let mut left = SINK;
         let drain = async {
@@ -333,7 +333,7 @@
         self.answer(status, None, why, close).await
     }
 
-    async fn hand_in(&mut self, taken: Taken, close: bool) -> std::io::Result<()> {
+    async fn hand_in(&mut self, taken: AcceptedMessage, close: bool) -> std::io::Result<()> {
         let (reply, answer) = bounded(1);
         let message = ToModule::HandIn(HandIn { taken, reply });
         let reply = match self.shared.module.send(message).await {
@@ -394,7 +394,7 @@
         let bytes = format!("HTTP/1.1 {status} {reason}\r\n{wait}{end}Content-Length: {n}\r\n\r\n{text}");
         let clock = self.shared.clock;
         let written =
-            clock.before(clock.now().after(ANSWER), write_whole(&mut self.stream, bytes.as_bytes())).await;
+            clock.before(clock.now().plus(ANSWER), write_whole(&mut self.stream, bytes.as_bytes())).await;
         written.unwrap_or(Err(std::io::ErrorKind::TimedOut.into()))
     }
 }
@@ -489,18 +489,18 @@
     let to = envelope.split([',', ';', ' ']).find_map(|f| f.trim().strip_prefix("to="));
     let note = to.map_or(String::new(), |to| Note { destination: to.into(), ..Note::default() }.write());
     let margin = MARGIN.min(Micros(left.0 / 8));
-    Ok(Ask::HandIn(Box::new(Taken {
-        n: 0,
-        front: FRONT,
-        id: id.to_owned(),
+    Ok(Ask::HandIn(Box::new(AcceptedMessage {
+        number: 0,
+        frontend: FRONT,
+        request_id: id.to_owned(),
         class: class.to_owned(),
-        class_then: None,
+        recorded_class: None,
         tenant: named(h, "x-tenant")?.unwrap_or("").to_owned(),
         destination,
-        key: key.to_owned(),
-        note,
-        receipt: false,
-        deadline: at.after(left.since(margin)),
+        idempotency_key: key.to_owned(),
+        frontend_note: note,
+        wants_receipt: false,
+        deadline: at.plus(left.since(margin)),
         body: bytes[body_at..].to_vec(),
     })))
 }
--- a/daemon/src/net/mgmt.rs
+++ b/daemon/src/net/mgmt.rs
@@ -34,7 +34,7 @@
                 let executor = shared.executor.clone();
                 callers.push_back(executor.spawn(async move {
                     let clock = shared.clock;
-                    let by = clock.now().after(WHOLE);
+                    let by = clock.now().plus(WHOLE);
                     // Who goes before the answer has none.
                     let _ = clock.before(by, call(&shared, stream)).await;
                 }));
@@ -111,7 +111,7 @@
         shared.module.send(ToModule::Maintenance { change, reply }).await.ok()?;
         answered.recv().await.ok()
     };
-    let by = shared.clock.now().after(MODULE_ANSWERS_WITHIN);
+    let by = shared.clock.now().plus(MODULE_ANSWERS_WITHIN);
     match shared.clock.before(by, asked).await.flatten() {
         Some(MaintenanceAnswer::Done) => done,
         Some(MaintenanceAnswer::NotKept(why)) => {
--- a/daemon/src/net/mod.rs
+++ b/daemon/src/net/mod.rs
@@ -12,7 +12,7 @@
 use crate::module::{Asks, Gate, Permit, ToModule};
 use async_channel::{Receiver, Sender, bounded};
 use async_executor::LocalExecutor;
-use onyxrock::core::Answered;
+use onyxrock::core::AttemptOutcome;
 use onyxrock::interface::{Micros, ReceiverId, Verdict};
 use onyxrock_sharing::ToPeers;
 use std::cell::Cell;
@@ -157,19 +157,19 @@
         }
     }
     pub fn until(&self) -> Micros {
-        self.started.after(self.patience)
+        self.started.plus(self.patience)
     }
     /// Its end, at `now`.
-    pub fn answered(&self, now: Micros, verdict: Verdict) -> Answered {
-        Answered {
-            n: self.n,
+    pub fn answered(&self, now: Micros, verdict: Verdict) -> AttemptOutcome {
+        AttemptOutcome {
+            number: self.n,
             attempt: self.attempt,
-            to: self.to,
+            receiver: self.to,
             verdict,
             elapsed: now.since(self.started),
             finished: false,
-            limit: (None, None),
-            told: if let Verdict::Full(Some(wait)) = verdict { now.after(wait) } else { Micros(0) },
+            load_report: (None, None),
+            wait_until: if let Verdict::Full(Some(wait)) = verdict { now.plus(wait) } else { Micros(0) },
         }
     }
 }
--- a/daemon/src/net/smpp/gateway.rs
+++ b/daemon/src/net/smpp/gateway.rs
@@ -32,7 +32,7 @@
 async fn run(shared: Rc<Shared>, gateway: Gateway, inbox: Receiver<ToEndpoint>) {
     while let Ok(message) = inbox.recv().await {
         let ToEndpoint::Call(call) = message else { continue };
-        let by = call.until().min(shared.clock.now().after(shared.connect_timeout));
+        let by = call.until().min(shared.clock.now().plus(shared.connect_timeout));
         shared.counters.outbound_open.up();
         shared.counters.outbound_opened.up();
         match shared.clock.before(by, bind(&shared, &gateway)).await {
@@ -143,8 +143,8 @@
             if !sound || self.closing && self.out.is_empty() && self.waiting.is_empty() {
                 break;
             }
-            let silence = self.heard.after(self.gateway.enquire);
-            let silence = if self.asked { silence.after(PROMPT) } else { silence };
+            let silence = self.heard.plus(self.gateway.enquire);
+            let silence = if self.asked { silence.plus(PROMPT) } else { silence };
             let first = self.out.values().chain(&self.waiting).map(OutboundCall::until).min();
             let due = first.map_or(silence, |f| f.min(silence));
             let event = {
@@ -203,7 +203,7 @@
 
     async fn say(&mut self, status: CommandStatus, sequence: u32, pdu: impl Into<Pdu>) -> bool {
         let bytes = command(status, sequence, pdu);
-        let by = self.shared.clock.now().after(PROMPT);
+        let by = self.shared.clock.now().plus(PROMPT);
         matches!(self.shared.clock.before(by, write(&mut self.link.stream, &bytes)).await, Some(Ok(())))
     }
 
@@ -271,7 +271,7 @@
                 if let Some(call) = self.out.remove(&sequence) {
                     end(self.shared, &call, verdict).await;
                 } else if let Verdict::Full(Some(wait)) = verdict {
-                    let until = self.shared.clock.now().after(wait);
+                    let until = self.shared.clock.now().plus(wait);
                     let _ = self.shared.module.send(ToModule::Wait { to: self.to, until }).await;
                 }
                 true
--- a/daemon/src/net/smpp/inbound.rs
+++ b/daemon/src/net/smpp/inbound.rs
@@ -8,7 +8,7 @@
 use async_channel::{Receiver, Sender, bounded};
 use async_io::Async;
 use futures_lite::future;
-use onyxrock::core::Taken;
+use onyxrock::core::AcceptedMessage;
 use onyxrock::interface::Micros;
 use onyxrock_config::smpp::Smpp;
 use rusmpp::pdus::{BindReceiverResp, BindTransceiverResp, BindTransmitterResp, SubmitSm, SubmitSmResp};
@@ -102,9 +102,9 @@
         let mut heard = opened;
         loop {
             let silence = match (&self.bound, self.asked.is_empty()) {
-                (None, _) => opened.after(BIND_WITHIN),
-                (_, true) => heard.after(self.front.smpp.enquire),
-                (_, false) => heard.after(self.front.smpp.enquire).after(PROMPT),
+                (None, _) => opened.plus(BIND_WITHIN),
+                (_, true) => heard.plus(self.front.smpp.enquire),
+                (_, false) => heard.plus(self.front.smpp.enquire).plus(PROMPT),
             };
             let room = self.out.len() < self.front.smpp.window;
             let event = {
@@ -173,7 +173,7 @@
     async fn say(&mut self, status: CommandStatus, sequence: u32, pdu: impl Into<Pdu>) -> bool {
         let bytes = command(status, sequence, pdu);
         let clock = self.front.shared.clock;
-        let by = clock.now().after(PROMPT);
+        let by = clock.now().plus(PROMPT);
         matches!(clock.before(by, write(&mut self.stream, &bytes)).await, Some(Ok(())))
     }
 
@@ -261,7 +261,7 @@
                 return self.say(status, sequence, SubmitSmResp::default()).await;
             }
         };
-        let id = taken.id.clone();
+        let id = taken.request_id.clone();
         let (reply, answer) = bounded(1);
         let module = &self.front.shared.module;
         let handed = module.send(ToModule::HandIn(HandIn { taken, reply })).await;
@@ -290,7 +290,7 @@
         }
     }
 
-    fn request(&self, system_id: &str, sm: &SubmitSm) -> Result<Taken, CommandStatus> {
+    fn request(&self, system_id: &str, sm: &SubmitSm) -> Result<AcceptedMessage, CommandStatus> {
         let Front { shared, smpp, give_up, .. } = self.front;
         let now = shared.clock.now();
         let service = text(sm.service_type.value());
@@ -320,18 +320,18 @@
         let margin = MARGIN.min(Micros(left.0 / 8));
         // Unique over sessions and restarts: no two submissions share a microsecond and a session's sequence.
         let id = format!("{:x}-{:x}-{:x}", now.0, self.number, shared.serial());
-        Ok(Taken {
-            n: 0,
-            front: FRONT,
-            id,
+        Ok(AcceptedMessage {
+            number: 0,
+            frontend: FRONT,
+            request_id: id,
             class: class.to_owned(),
-            class_then: None,
+            recorded_class: None,
             tenant: smpp.clients.get(system_id).cloned().unwrap_or_default(),
             destination,
-            key: String::new(),
-            note: note.write(),
-            receipt: true,
-            deadline: now.after(left.since(margin)),
+            idempotency_key: String::new(),
+            frontend_note: note.write(),
+            wants_receipt: true,
+            deadline: now.plus(left.since(margin)),
             body: payload.unwrap_or_else(|| sm.short_message().as_ref().to_vec()),
         })
     }
--- a/daemon/src/net/smpp/receipts.rs
+++ b/daemon/src/net/smpp/receipts.rs
@@ -5,7 +5,7 @@
 use crate::net::Shared;
 use async_channel::{Receiver, Sender};
 use futures_lite::future;
-use onyxrock::core::End;
+use onyxrock::core::FinalStatus;
 use onyxrock::interface::Micros;
 use rusmpp::Pdu;
 use rusmpp::pdus::DeliverSm;
@@ -44,7 +44,7 @@
         let ending = async { endings.recv().await.ok().map(|e| (Some(e), None)) };
         let session = async { sessions.recv().await.ok().map(|s| (None, Some(s))) };
         let now = shared.clock.now();
-        let again = (!pending.is_empty()).then(|| now.after(LOOK_AGAIN));
+        let again = (!pending.is_empty()).then(|| now.plus(LOOK_AGAIN));
         let look = async {
             shared.clock.until(again).await;
             Some((None, None))
@@ -74,7 +74,7 @@
         }
         let now = shared.clock.now();
         // Also where a session has it and never acknowledges it: nothing else would let go of it.
-        let stale = |p: &(Ending, Option<u64>)| now > p.0.deadline.after(KEEP);
+        let stale = |p: &(Ending, Option<u64>)| now > p.0.deadline.plus(KEEP);
         let gone: Vec<_> = pending.iter().filter(|(_, p)| stale(p)).map(|(n, _)| *n).collect();
         for n in gone {
             tracing::warn!(request = %pending[&n].0.id, "smpp: a receipt was not acknowledged and is given up");
@@ -90,9 +90,9 @@
     let note = Note::read(&e.note);
     // REJECTD is the end that says: handing it in again is harmless; the text may say when.
     let (stat, state, delivered, hint) = match e.end {
-        End::Delivered => ("DELIVRD", MessageState::Delivered, 1, String::new()),
-        End::Failed => ("UNDELIV", MessageState::Undeliverable, 0, String::new()),
-        End::Returned(wait) => {
+        FinalStatus::Delivered => ("DELIVRD", MessageState::Delivered, 1, String::new()),
+        FinalStatus::Failed => ("UNDELIV", MessageState::Undeliverable, 0, String::new()),
+        FinalStatus::Returned(wait) => {
             let hint = wait.map_or(String::new(), |w| format!("retry-after-ms={}", w.0.div_ceil(1000)));
             ("REJECTD", MessageState::Rejected, 0, hint)
         }
--- a/daemon/src/notices.rs
+++ b/daemon/src/notices.rs
@@ -8,7 +8,7 @@
 use async_channel::Receiver;
 use async_io::Timer;
 use futures_lite::future;
-use onyxrock::core::End;
+use onyxrock::core::FinalStatus;
 use onyxrock::interface::Micros;
 use serde_json::json;
 use std::net::SocketAddr;
@@ -66,7 +66,7 @@
             let n = body.len();
             let bytes =
                 format!("POST /v1/outcomes HTTP/1.1\r\nHost: {to}\r\nContent-Length: {n}\r\n\r\n{body}");
-            let by = clock.now().after(PATIENCE);
+            let by = clock.now().plus(PATIENCE);
             let posted = clock.before(by, post(&clock, to, &mut self.conn, &bytes));
             // Only what has gone wrong waits: who has moved hears of it at once.
             let moves = async {
@@ -110,7 +110,7 @@
         None => Conn::open(to, HEAD_MOST).await?,
     };
     conn.write(bytes.as_bytes()).await?;
-    let mut answer = conn.answer(clock, clock.now().after(PATIENCE)).await?;
+    let mut answer = conn.answer(clock, clock.now().plus(PATIENCE)).await?;
     let again = conn.rest(&mut answer).await?;
     *kept = again.then_some(conn);
     Ok(answer.status)
@@ -118,11 +118,11 @@
 
 fn line(e: &Ending) -> String {
     match e.end {
-        End::Returned(Some(wait)) => {
+        FinalStatus::Returned(Some(wait)) => {
             json!({"id": e.id, "state": "returned", "after_ms": wait.0.div_ceil(1000)})
         }
-        End::Returned(None) => json!({"id": e.id, "state": "returned"}),
-        End::Failed | End::Delivered => json!({"id": e.id, "state": "failed"}),
+        FinalStatus::Returned(None) => json!({"id": e.id, "state": "returned"}),
+        FinalStatus::Failed | FinalStatus::Delivered => json!({"id": e.id, "state": "failed"}),
     }
     .to_string()
 }
--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -19,7 +19,7 @@
 use async_io::{Async, Timer};
 use async_signal::{Signal, Signals};
 use futures_lite::{StreamExt, future};
-use onyxrock::core::{Ledger, Record, probes, recover};
+use onyxrock::core::{Ledger, Record, add_probe_class, recover};
 use onyxrock::interface::{DestinationId, Micros};
 use onyxrock_config::daemon::{Config, ReadError};
 use onyxrock_config::product::Product;
@@ -80,13 +80,13 @@
     // The file of what is remembered, old and new, too.
     let log_bytes = config.disk_bytes.saturating_sub(zones + 2 * kept);
     let Opened { claim, wal, scan, maintenance: taken_out } = open_folder(&config.state, log_bytes).await?;
-    if scan.damaged > 0 {
-        tracing::warn!("log: {} bytes belong to no whole record and are left out", scan.damaged);
+    if scan.damaged_bytes > 0 {
+        tracing::warn!("log: {} bytes belong to no whole record and are left out", scan.damaged_bytes);
     }
     let (to_module, module_inbox) = bounded::<ToModule>(4096);
     let (ending, ended) = bounded(1);
     let (closing, closed) = bounded(1);
-    let idle = config.settings.connection_idle;
+    let idle = config.settings.connection_idle_timeout;
     // One round of questions to all members, and their answers: what finds no place is lost, and asked again.
     let others = duties.as_ref().map_or(0, |d| d.members.len());
     let (to_peers, peers_inbox) = bounded((4 * others).max(1024));
@@ -121,21 +121,21 @@
     let (receipt, smpp_endings) = bounded(1024);
     let fronts = BTreeMap::from([(inbound::FRONT, notice), (smpp::FRONT, receipt)]);
     let slots = (config.settings.slots as usize).min(4096);
-    let (ask_every, share_much) = (config.settings.ask_every, config.settings.share_much());
+    let (ask_every, share_much) = (config.settings.list_poll_interval, config.settings.large_fleet());
     // One that tells whether it is answered, and the watch behind it.
     let asks_twice = config.settings.list_calls_fit(2);
     let classes = config.names.classes.iter();
-    let give_up = classes.map(|(c, i)| (c.clone(), config.settings.classes[*i].give_up)).collect();
+    let give_up = classes.map(|(c, i)| (c.clone(), config.settings.classes[*i].give_up_after)).collect();
     let gateways = smpp.as_ref().map_or(Vec::new(), |s| s.gateways.clone());
     // A gateway knows no idempotency key: it would carry out a repeat.
     let plain = gateways.iter().map(|g| DestinationId(g.destination)).collect();
     let mut settings = config.settings;
     let probe_class = duties.as_ref().map(|d| {
         let shared = !d.probe.alone;
-        settings.notes = shared;
+        settings.peer_hints = shared;
         // Longer than a hand-over of the duty takes.
         let hold_back = if shared { Micros(d.lease.0 * 3) } else { Micros(0) };
-        probes(&mut settings, Micros(d.probe.patience.0 * 2), hold_back)
+        add_probe_class(&mut settings, Micros(d.probe.patience.0 * 2), hold_back)
     });
     let ledger = Ledger::new(settings, config.names.clone(), plain, config.seed);
     let terms = resting.map(|i| Terms { half_life: i.half_life, forget: i.forget }).unwrap_or_default();
@@ -194,10 +194,10 @@
     // An id that came to an earlier process could still run.
     let now = shared.clock.now();
     for record in &scan.records {
-        if let Record::Taken(t) = record
+        if let Record::Accepted(t) = record
             && t.deadline > now
         {
-            module.ledger.fresh(now, &t.id);
+            module.ledger.remember_request_id(now, &t.request_id);
         }
     }
     module.knows(&scan.records);
@@ -222,7 +222,7 @@
     }
     // The new log says what is owed as this process knows it, and nothing of the damage. Of what is over it says nothing
     // either, so it comes after the look at the other log.
-    if let Err(e) = module.wal.compact(module.ledger.owed()) {
+    if let Err(e) = module.wal.compact(module.ledger.open_messages()) {
         tracing::error!("log: {e}");
     }
     let wait = if ask_every > Micros(0) { Micros(ask_every.0 / 2) } else { Micros(5_000_000) };
--- a/daemon/src/shared_waits.rs
+++ b/daemon/src/shared_waits.rs
@@ -102,7 +102,7 @@
 
 fn line(clock: &Clock, wait: &ToldWait) -> String {
     let left = wait.until.since(clock.now());
-    format!("{} {}\n", Clock::boot_time().after(left).0, wait.endpoint)
+    format!("{} {}\n", Clock::boot_time().plus(left).0, wait.endpoint)
 }
 
 fn drain_line(drain: &ToldDrain) -> String {
@@ -158,7 +158,7 @@
         return Some(Shared::Drain(ToldDrain { endpoint, generation }));
     }
     let left = Micros(until.parse().ok()?).since(Clock::boot_time());
-    let until = clock.now().after(left);
+    let until = clock.now().plus(left);
     (left > Micros(0)).then(|| Shared::Wait(ToldWait { endpoint: endpoint.to_owned(), until }))
 }
 
--- a/daemon/src/shared_waits/tests.rs
+++ b/daemon/src/shared_waits/tests.rs
@@ -8,7 +8,7 @@
 }
 
 fn wait(clock: &Clock, endpoint: &str, left_ms: u64) -> ToldWait {
-    ToldWait { endpoint: endpoint.into(), until: clock.now().after(Micros(left_ms * 1000)) }
+    ToldWait { endpoint: endpoint.into(), until: clock.now().plus(Micros(left_ms * 1000)) }
 }
 
 fn names(told: &[Shared]) -> Vec<&str> {
--- a/daemon/src/show.rs
+++ b/daemon/src/show.rs
@@ -13,7 +13,7 @@
 /// Asks the instance whose clients' address this is.
 pub fn fetch(at: SocketAddr, path: &str) -> Result<Value, String> {
     let clock = Clock::default();
-    let by = clock.now().after(PATIENCE);
+    let by = clock.now().plus(PATIENCE);
     let asked = async {
         let mut conn = Conn::open(at, MOST).await?;
         let request = format!("GET {path} HTTP/1.1\r\nHost: {at}\r\nConnection: close\r\n\r\n");
--- a/daemon/src/start.rs
+++ b/daemon/src/start.rs
@@ -4,7 +4,7 @@
 use crate::maintenance::MaintenanceFile;
 use crate::wal::Wal;
 use async_io::Timer;
-use onyxrock::core::Scan;
+use onyxrock::core::LogScan;
 use std::collections::BTreeSet;
 use std::io;
 use std::path::Path;
@@ -21,7 +21,7 @@
     pub claim: Claim,
     pub wal: Wal,
     /// What the log says.
-    pub scan: Scan,
+    pub scan: LogScan,
     /// Endpoints that operators have taken out.
     pub maintenance: BTreeSet<String>,
 }
--- a/daemon/src/wal.rs
+++ b/daemon/src/wal.rs
@@ -2,7 +2,7 @@
 
 use crate::folder::{Claim, PLACES, Place, read, remove};
 use crate::maintenance;
-use onyxrock::core::{Owed, Record, Scan, frames};
+use onyxrock::core::{LogScan, OpenMessage, Record, scan_log};
 use std::fs::{File, OpenOptions, rename};
 use std::io::{self, ErrorKind, Write};
 use std::path::{Path, PathBuf};
@@ -28,19 +28,19 @@
 
 impl Wal {
     /// Opens the log of the place that this process has.
-    pub fn of(claim: &Claim, budget: u64) -> io::Result<(Wal, Scan)> {
+    pub fn of(claim: &Claim, budget: u64) -> io::Result<(Wal, LogScan)> {
         let (wal, scan) = Wal::at(&claim.folder, claim.place, budget)?;
         let beside = claim.beside().into_iter().chain(maintenance::files(&claim.folder)).collect();
         Ok((Wal { beside, ..wal }, scan))
     }
 
     /// Opens the log of a folder where there is nobody else.
-    pub fn open(folder: &Path, budget: u64) -> io::Result<(Wal, Scan)> {
+    pub fn open(folder: &Path, budget: u64) -> io::Result<(Wal, LogScan)> {
         Wal::at(folder, PLACES[0], budget)
     }
 
     /// Opens a log, made if there is none, and reads what an earlier process left in it.
-    fn at(folder: &Path, place: Place, budget: u64) -> io::Result<(Wal, Scan)> {
+    fn at(folder: &Path, place: Place, budget: u64) -> io::Result<(Wal, LogScan)> {
         // A new log that was not renamed yet says nothing that the old one does not.
         remove(&folder.join(place.new))?;
         let path = folder.join(place.log);
@@ -60,7 +60,7 @@
                 look_at: SLACK,
                 compactions: 0,
             },
-            frames(&bytes),
+            scan_log(&bytes),
         ))
     }
 
@@ -81,11 +81,11 @@
     /// Appends records as one write. `owed` is all that is owed before them: it is what a new log would hold.
     /// A request is taken on only where the records that must follow it still fit.
     pub fn append<'a>(
-        &mut self, records: &[Record], owed: impl Fn() -> Box<dyn Iterator<Item = &'a Owed> + 'a>,
+        &mut self, records: &[Record], owed: impl Fn() -> Box<dyn Iterator<Item = &'a OpenMessage> + 'a>,
     ) -> io::Result<()> {
         let mut bytes = Vec::new();
         records.iter().for_each(|r| r.write(&mut bytes));
-        let takes_on = records.iter().any(|r| matches!(r, Record::Taken(_)));
+        let takes_on = records.iter().any(|r| matches!(r, Record::Accepted(_)));
         let more = bytes.len() as u64;
         let (twice, kept) = if takes_on { (more * 2, RESERVE) } else { (more, 0) };
         if self.size > self.look_at || self.size + twice + kept > self.budget / 2 {
@@ -117,9 +117,9 @@
     }
 
     /// Writes what is owed to a new log, which then takes the place of the old one.
-    pub fn compact<'a>(&mut self, owed: impl Iterator<Item = &'a Owed>) -> io::Result<()> {
+    pub fn compact<'a>(&mut self, owed: impl Iterator<Item = &'a OpenMessage>) -> io::Result<()> {
         let mut bytes = Vec::new();
-        owed.flat_map(Owed::records).for_each(|r| r.write(&mut bytes));
+        owed.flat_map(OpenMessage::records).for_each(|r| r.write(&mut bytes));
         if self.size + bytes.len() as u64 + self.beside() > self.budget {
             return Err(io::Error::new(ErrorKind::StorageFull, "no room for a new log beside the old one"));
         }
@@ -137,10 +137,16 @@
 }
 
 /// About what a new log would hold, rather too much than too little.
-fn live<'a>(owed: impl Iterator<Item = &'a Owed>) -> u64 {
-    let one = |o: &Owed| {
-        let t = &o.taken;
-        t.body.len() + t.id.len() + t.key.len() + t.note.len() + t.class.len() + t.tenant.len() + 320
+fn live<'a>(owed: impl Iterator<Item = &'a OpenMessage>) -> u64 {
+    let one = |o: &OpenMessage| {
+        let t = &o.accepted;
+        t.body.len()
+            + t.request_id.len()
+            + t.idempotency_key.len()
+            + t.frontend_note.len()
+            + t.class.len()
+            + t.tenant.len()
+            + 320
     };
     owed.map(|o| one(o) as u64).sum()
 }
--- a/daemon/src/wal/tests.rs
+++ b/daemon/src/wal/tests.rs
@@ -1,7 +1,7 @@
 //! The log over a folder that fails, is full, or was left by a process that died.
 
 use super::*;
-use onyxrock::core::{CallEnd, Taken, recover};
+use onyxrock::core::{AcceptedMessage, AttemptStatus, recover};
 use onyxrock::interface::Micros;
 use rustix::fs::{MemfdFlags, SealFlags, fcntl_add_seals, memfd_create};
 use std::collections::BTreeMap;
@@ -28,13 +28,17 @@
     }
 }
 
-fn put(wal: &mut Wal, owed: &mut BTreeMap<u64, Owed>, record: &Record) -> bool {
+fn put(wal: &mut Wal, owed: &mut BTreeMap<u64, OpenMessage>, record: &Record) -> bool {
     if wal.append(std::slice::from_ref(record), || Box::new(owed.values())).is_err() {
         return false;
     }
     match record {
-        Record::Taken(t) => drop(owed.insert(t.n, Owed { taken: t.clone(), ..Owed::default() })),
-        other if owed.get_mut(&other.n()).is_some_and(|o| !o.apply(other)) => drop(owed.remove(&other.n())),
+        Record::Accepted(t) => {
+            drop(owed.insert(t.number, OpenMessage { accepted: t.clone(), ..OpenMessage::default() }))
+        }
+        other if owed.get_mut(&other.number()).is_some_and(|o| !o.apply(other)) => {
+            drop(owed.remove(&other.number()))
+        }
         _ => {}
     }
     true
@@ -48,8 +52,14 @@
     let (mut owed, mut refused) = (BTreeMap::new(), 0);
     for n in 1..4000u64 {
         let body = vec![n as u8; if n % 50 == 0 { 60_000 } else { 300 }];
-        let taken = Taken { n, id: format!("{n}"), deadline: Micros(n), body, ..Taken::default() };
-        if !put(&mut wal, &mut owed, &Record::Taken(taken)) {
+        let taken = AcceptedMessage {
+            number: n,
+            request_id: format!("{n}"),
+            deadline: Micros(n),
+            body,
+            ..AcceptedMessage::default()
+        };
+        if !put(&mut wal, &mut owed, &Record::Accepted(taken)) {
             refused += 1;
             continue;
         }
@@ -58,24 +68,28 @@
         assert!(put(
             &mut wal,
             &mut owed,
-            &Record::Attempt { n, attempt: 0, endpoint: "e".into(), zone: "z".into(), at }
+            &Record::Attempt { number: n, attempt: 0, endpoint: "e".into(), zone: "z".into(), at }
+        ));
+        assert!(put(
+            &mut wal,
+            &mut owed,
+            &Record::Outcome { number: n, attempt: 0, status: AttemptStatus::MayHaveRun }
         ));
-        assert!(put(&mut wal, &mut owed, &Record::Outcome { n, attempt: 0, end: CallEnd::MayHaveRun }));
         if n > 200 {
-            assert!(put(&mut wal, &mut owed, &Record::Over(n - 200)));
+            assert!(put(&mut wal, &mut owed, &Record::Closed(n - 200)));
         }
         assert!(folder.used() <= BOUND);
     }
     assert!(refused > 0 && wal.compactions > 0, "{refused} refused, {} rewritten", wal.compactions);
     let (_, scan) = Wal::open(&folder.0, BOUND).unwrap();
-    assert_eq!((scan.damaged, recover(scan.records)), (0, owed));
+    assert_eq!((scan.damaged_bytes, recover(scan.records)), (0, owed));
 }
 
 #[test]
 fn a_rewrite_that_death_cut_short_changes_nothing() {
     let folder = Folder::new("cut");
     let (mut wal, _) = Wal::open(&folder.0, 1_000_000).unwrap();
-    let taken = Record::Taken(Taken { n: 7, ..Taken::default() });
+    let taken = Record::Accepted(AcceptedMessage { number: 7, ..AcceptedMessage::default() });
     assert!(put(&mut wal, &mut BTreeMap::new(), &taken));
     std::fs::write(folder.0.join(PLACES[0].new), b"half of a rec").unwrap();
     let (mut wal, scan) = Wal::open(&folder.0, 1_000_000).unwrap();
@@ -94,7 +108,9 @@
     fcntl_add_seals(&sealed, SealFlags::SHRINK).unwrap();
     wal.file = File::from(sealed);
     let mut owed = BTreeMap::new();
-    let taken = |n: u64| Record::Taken(Taken { n, deadline: Micros(n), ..Taken::default() });
+    let taken = |n: u64| {
+        Record::Accepted(AcceptedMessage { number: n, deadline: Micros(n), ..AcceptedMessage::default() })
+    };
     assert!(put(&mut wal, &mut owed, &taken(1)));
     let mut half = Vec::new();
     taken(2).write(&mut half);
@@ -106,6 +122,6 @@
     assert_eq!(wal.size(), length, "the next cut is behind what has been written since");
     let mut bytes = vec![0; length as usize];
     wal.file.read_exact_at(&mut bytes, 0).unwrap();
-    let scan = frames(&bytes);
-    assert_eq!((scan.records, scan.damaged), (vec![taken(1), taken(3)], half.len()));
+    let scan = scan_log(&bytes);
+    assert_eq!((scan.records, scan.damaged_bytes), (vec![taken(1), taken(3)], half.len()));
 }
--- a/duties/src/book.rs
+++ b/duties/src/book.rs
@@ -150,7 +150,7 @@
             return Vec::new();
         }
         if let Message::Want { duties } = &message {
-            let until = now.after(self.terms.lease);
+            let until = now.plus(self.terms.lease);
             for duty in duties {
                 if let Some(w) = self.wanted_entry(*duty) {
                     w.until = w.until.max(until);
@@ -198,7 +198,7 @@
         if now < self.round {
             return out;
         }
-        self.round = now.after(self.terms.renew());
+        self.round = now.plus(self.terms.renew());
         if let Some(v) = &mut self.voter {
             v.tidy(now);
             if v.asks_others(now) {
@@ -229,7 +229,7 @@
                     // Others ask too, and each has a part: all but one must step back, those behind for longer. A
                     // promise to somebody who is gone ends by itself before that.
                     let place = rank::place(*duty, self.me, (0..self.members).map(Member)) as u64;
-                    w.rest = now.after(Micros(self.terms.renew().0 * place));
+                    w.rest = now.plus(Micros(self.terms.renew().0 * place));
                     w.tries = 0;
                     back.push(*duty);
                 }
@@ -254,7 +254,7 @@
         for some in ask.chunks(DUTIES_MOST) {
             // A release left at this very moment: a question now could not be told from what it takes back.
             let Some(message) = self.holder.ask(now, some.to_vec()) else {
-                self.round = now.after(Micros(1));
+                self.round = now.plus(Micros(1));
                 break;
             };
             self.tell_voters(now, &message, &mut out);
--- a/duties/src/holder.rs
+++ b/duties/src/holder.rs
@@ -77,7 +77,7 @@
             // A lease that ran out is over: what is done under the next one must be told from it.
             let over = c.held == c.asking && c.held > 0 && c.until <= now;
             // One voter that knows of a higher epoch must not cost a lease that the others go on renewing.
-            let renewed = c.held == c.asking && c.until > now.after(Micros(self.terms.lease.0 / 2));
+            let renewed = c.held == c.asking && c.until > now.plus(Micros(self.terms.lease.0 / 2));
             if c.asking <= known && !renewed || over {
                 c.asking = known.max(c.asking) + 1;
                 c.promised.clear();
@@ -120,7 +120,7 @@
             let mut sent: Vec<_> = c.promised.values().copied().collect();
             sent.sort_unstable_by(|a, b| b.cmp(a));
             let Some(oldest) = sent.get(quorum - 1) else { continue };
-            let until = oldest.after(lease);
+            let until = oldest.plus(lease);
             if until <= now {
                 continue;
             }
@@ -187,13 +187,13 @@
         let c = self.claims.get(&duty).ok_or(NotNow::NoLease)?;
         let since = c.since.ok_or(NotNow::NoLease)?;
         // What is begun must be over before anybody else can hold the lease.
-        if now.after(self.terms.patience) > c.until {
+        if now.plus(self.terms.patience) > c.until {
             return Err(NotNow::NoLease);
         }
         if c.out.is_some_and(|until| now < until) {
             return Err(NotNow::Busy);
         }
-        let next = c.began.unwrap_or(since).max(since).after(self.terms.gap);
+        let next = c.began.unwrap_or(since).max(since).plus(self.terms.gap);
         if now < next { Err(NotNow::Pace(next)) } else { Ok(()) }
     }
 
@@ -205,7 +205,7 @@
     pub fn begin(&mut self, now: Micros, duty: Duty) -> Result<Epoch, NotNow> {
         self.may_begin(now, duty)?;
         let c = self.claims.get_mut(&duty).ok_or(NotNow::NoLease)?;
-        (c.began, c.out) = (Some(now), Some(now.after(self.terms.patience)));
+        (c.began, c.out) = (Some(now), Some(now.plus(self.terms.patience)));
         Ok(c.held)
     }
 
@@ -220,11 +220,11 @@
     pub fn tidy(&mut self, now: Micros) {
         let lease = self.terms.lease;
         self.claims.retain(|_, c| {
-            c.promised.retain(|_, sent| sent.after(lease) > now);
+            c.promised.retain(|_, sent| sent.plus(lease) > now);
             if c.until <= now {
                 (c.since, c.began, c.out, c.until) = (None, None, None, Micros(0));
             }
-            !c.promised.is_empty() || c.asked.is_some_and(|(_, last)| last.after(lease) > now)
+            !c.promised.is_empty() || c.asked.is_some_and(|(_, last)| last.plus(lease) > now)
         });
     }
 
--- a/duties/src/lib.rs
+++ b/duties/src/lib.rs
@@ -122,7 +122,7 @@
     /// How long a promise of a voter binds it: the lease and a tenth more, for clocks that run at other rates.
     #[must_use]
     pub fn span(self) -> Micros {
-        self.lease.after(Micros(self.lease.0.div_ceil(10)))
+        self.lease.plus(Micros(self.lease.0.div_ceil(10)))
     }
     /// How often a lease is renewed: a lost question or answer may be made good before it is over.
     #[must_use]
--- a/duties/src/voter.rs
+++ b/duties/src/voter.rs
@@ -70,7 +70,7 @@
         let (promises, highest) = (BTreeMap::new(), BTreeMap::new());
         Voter {
             terms,
-            quiet: now.after(terms.span()),
+            quiet: now.plus(terms.span()),
             promises,
             floor,
             highest,
@@ -126,7 +126,7 @@
         if now < self.quiet || self.lost.is_some() || epoch > self.durable {
             return false;
         }
-        let (until, known) = (now.after(self.terms.span()), self.known(duty));
+        let (until, known) = (now.plus(self.terms.span()), self.known(duty));
         let live = self.promises.get(&duty).copied().filter(|p| p.until > now);
         match live {
             Some(p) if (p.to, p.boot) != (from, boot) => return false,
--- a/duties/tests/cluster.rs
+++ b/duties/tests/cluster.rs
@@ -207,7 +207,7 @@
             book.view(now, view);
             // Only some of the members want what the others own.
             duties.iter().filter(|d| (d.of + u64::from(n)) % 2 == 0).for_each(|d| {
-                book.want(*d, now.after(TERMS.lease));
+                book.want(*d, now.plus(TERMS.lease));
             });
             for (duty, until) in node.out.clone() {
                 if until <= at || quick {
--- a/duties/tests/model.rs
+++ b/duties/tests/model.rs
@@ -163,7 +163,7 @@
                     node.holder.tidy(now);
                 }
                 let over = |m: &Message| match m {
-                    Message::Answer { sent, .. } => Micros(*sent).after(self.terms.lease) <= now,
+                    Message::Answer { sent, .. } => Micros(*sent).plus(self.terms.lease) <= now,
                     _ => false,
                 };
                 next.net.retain(|(_, _, m)| !over(m));
--- a/lab/src/experiments/slopes/engine.rs
+++ b/lab/src/experiments/slopes/engine.rs
@@ -6,7 +6,9 @@
 use super::{Plan, least_of};
 use crate::capacity::cost::Cost;
 use crate::capacity::fit::Point;
-use onyxrock::core::{Answered, CallEnd, Ledger, Owed, Record, Step, Taken, recover};
+use onyxrock::core::{
+    AcceptedMessage, AttemptOutcome, AttemptStatus, Ledger, LedgerAction, OpenMessage, Record, recover,
+};
 use onyxrock::interface::*;
 use onyxrock::{PolicyEngine, interface::Settings};
 use onyxrock_daemon::wal::Wal;
@@ -32,28 +34,28 @@
 
 fn settings() -> Settings {
     let class = ClassSettings {
-        aim: Micros(800_000),
-        give_up: CLASS_TIME,
+        target_latency: Micros(800_000),
+        give_up_after: CLASS_TIME,
         effect: Effect::Safe,
-        worth: 1.0,
-        late_share: 0.1,
+        value: 1.0,
+        late_value_share: 0.1,
         ..ClassSettings::default()
     };
     Settings {
         classes: vec![class],
-        kinds: vec![KindSettings { apart: false, batch: 1 }],
+        kinds: vec![KindSettings { separate_routes: false, messages_per_call: 1 }],
         zone_fees: vec![0.0],
         slots: u32::MAX,
         max_held: u32::MAX,
         max_attempts: 12,
-        senders: SENDERS,
+        sender_count: SENDERS,
         weights: Weights::Rough,
-        subscribe: true,
-        fall_multiple: 2.0,
-        fall_window: Micros(3_000_000),
-        cold_from: 0.17,
-        warm_within: Micros(12_000_000),
-        connection_idle: Micros(60_000_000),
+        subscribe_to_list: true,
+        collapse_multiple: 2.0,
+        collapse_window: Micros(3_000_000),
+        cold_start_share: 0.17,
+        warm_up_time: Micros(12_000_000),
+        connection_idle_timeout: Micros(60_000_000),
         ..Settings::default()
     }
 }
@@ -62,16 +64,16 @@
     Ledger::new(settings(), names(), Default::default(), plan.seed)
 }
 
-fn taken(n: u64, destination: u64) -> Taken {
-    Taken {
-        n,
-        id: format!("message-{n:012}"),
+fn taken(n: u64, destination: u64) -> AcceptedMessage {
+    AcceptedMessage {
+        number: n,
+        request_id: format!("message-{n:012}"),
         class: "status".into(),
         destination,
-        key: format!("key-{n:012}"),
+        idempotency_key: format!("key-{n:012}"),
         deadline: CLASS_TIME,
         body: vec![7; BODY],
-        ..Taken::default()
+        ..AcceptedMessage::default()
     }
 }
 
@@ -79,29 +81,29 @@
 fn wake(ledger: &mut Ledger, directory: &mut Directory, now: Micros, destination: u64, sick: bool) {
     let mut follows = Follows::default();
     let Some(mut woken) = directory.touch(now, destination, &mut follows) else { return };
-    woken.each.iter_mut().for_each(|(_, repute)| repute.sick = sick);
-    ledger.wake(now, destination, woken.whole, woken.each, 10.0);
+    woken.each.iter_mut().for_each(|(_, repute)| repute.unhealthy = sick);
+    ledger.activate(now, destination, woken.whole, woken.each, 10.0);
 }
 
 /// One message to it, delivered at once.
 fn deliver(ledger: &mut Ledger, now: Micros, n: u64, destination: u64) {
-    ledger.take(now, taken(n, destination));
+    ledger.accept(now, taken(n, destination));
     let mut steps = Vec::new();
     ledger.decide(now, true, &mut steps);
     for step in steps {
-        let Step::Call { n, attempt, to, .. } = step else { continue };
-        ledger.attempt(n, attempt, "club-endpoint", "floor-2", now).expect("the first attempt");
-        let answered = Answered {
-            n,
+        let LedgerAction::Call { number: n, attempt, receiver: to, .. } = step else { continue };
+        ledger.begin_attempt(n, attempt, "club-endpoint", "floor-2", now).expect("the first attempt");
+        let answered = AttemptOutcome {
+            number: n,
             attempt,
-            to,
+            receiver: to,
             verdict: Verdict::Delivered,
             elapsed: Micros(20_000),
             finished: true,
-            limit: (None, None),
-            told: Micros(0),
+            load_report: (None, None),
+            wait_until: Micros(0),
         };
-        ledger.answered(now, &answered);
+        ledger.end_attempt(now, &answered);
     }
 }
 
@@ -117,7 +119,7 @@
     }
     // One that wakes is in doubt until it is served again once it must be warm.
     for destination in (0..n).filter(|_| !sick) {
-        let now = at(destination).after(WARM);
+        let now = at(destination).plus(WARM);
         deliver(&mut ledger, now, n + destination + 1, destination);
     }
     ledger
@@ -131,14 +133,14 @@
             let mut directory = full(n);
             let (bytes, ledger) = memory_of(|| in_use(plan, &mut directory, n, sick));
             points.push(Point { x: n as f64, y: bytes });
-            let doubted = ledger.in_question().count() as u64;
+            let doubted = ledger.unconfirmed_destinations().count() as u64;
             if sick != (doubted == n) {
                 return Err(format!("{doubted} of {n} destinations are doubted"));
             }
             if !sick {
                 let us = least_of(plan.repeats, || {
                     let mut watch = Stopwatch::default();
-                    watch.time(|| std::hint::black_box(ledger.in_question().count()));
+                    watch.time(|| std::hint::black_box(ledger.unconfirmed_destinations().count()));
                     Ok::<_, String>(watch.us)
                 })?;
                 look.push(Point { x: n as f64, y: us / LEASE.renew().secs() });
@@ -156,9 +158,9 @@
             id: MessageId(i + 1),
             class: ClassId(0),
             tenant: None,
-            key: None,
+            ordering_key: None,
             destination: DestinationId(i % BACKLOG_DESTINATIONS),
-            left: CLASS_TIME,
+            time_left: CLASS_TIME,
         };
         policy.on_event(Micros(1_000_000), Event::Submit(message), &mut actions);
     }
@@ -169,8 +171,8 @@
     let mut ledger = ledger(plan);
     for i in 0..n {
         let taken = taken(i + 1, i % BACKLOG_DESTINATIONS);
-        ledger.fresh(Micros(1_000_000), &taken.id);
-        ledger.take(Micros(1_000_000), taken);
+        ledger.remember_request_id(Micros(1_000_000), &taken.request_id);
+        ledger.accept(Micros(1_000_000), taken);
     }
     ledger
 }
@@ -181,8 +183,8 @@
     for n in plan.sizes(plan.size.backlog_per_forwarder() / 16.0) {
         engine.push(Point { x: n as f64, y: memory_of(|| held(plan, n)).0 });
         let (bytes, ledger) = memory_of(|| owed(plan, n));
-        if ledger.held() as u64 != n {
-            return Err(format!("{} of {n} messages are held", ledger.held()));
+        if ledger.held_count() as u64 != n {
+            return Err(format!("{} of {n} messages are held", ledger.held_count()));
         }
         all.push(Point { x: n as f64, y: bytes });
     }
@@ -210,13 +212,14 @@
     Ok(vec![(Cost::BacklogDisk, disk), (Cost::BacklogRestartCpu, restart)])
 }
 
-fn log(n: u64) -> Vec<Owed> {
+fn log(n: u64) -> Vec<OpenMessage> {
     let one = |i: u64| {
-        let mut owed = Owed { taken: taken(i + 1, i % BACKLOG_DESTINATIONS), ..Owed::default() };
+        let mut owed =
+            OpenMessage { accepted: taken(i + 1, i % BACKLOG_DESTINATIONS), ..OpenMessage::default() };
         let (n, attempt, at) = (i + 1, 0, Micros(1_000_000));
         let (endpoint, zone) = ("club-endpoint".to_owned(), "floor-2".to_owned());
-        owed.apply(&Record::Attempt { n, attempt, endpoint, zone, at });
-        owed.apply(&Record::Outcome { n, attempt, end: CallEnd::NeverRan });
+        owed.apply(&Record::Attempt { number: n, attempt, endpoint, zone, at });
+        owed.apply(&Record::Outcome { number: n, attempt, status: AttemptStatus::NeverRan });
         owed
     };
     (0..n).map(one).collect()
--- a/lab/src/experiments/slopes/leases.rs
+++ b/lab/src/experiments/slopes/leases.rs
@@ -100,7 +100,7 @@
 
     /// One renewal. The holder's part is timed.
     fn renew(&mut self, watch: &mut Stopwatch) {
-        self.now = self.now.after(LEASE.renew());
+        self.now = self.now.plus(LEASE.renew());
         let (now, me) = (self.now, Member(VOTERS));
         let (holder, wire) = (&mut self.holder, &mut self.wire);
         let mut out: VecDeque<_> = watch.time(|| {
@@ -182,7 +182,7 @@
 
     /// One renewal of all. The voter's part is timed.
     fn renew(&mut self, watch: &mut Stopwatch) {
-        self.now = self.now.after(LEASE.renew());
+        self.now = self.now.plus(LEASE.renew());
         let now = self.now;
         watch.time(|| self.voter.tick(now));
         for (i, holder) in self.holders.iter_mut().enumerate() {
@@ -257,7 +257,7 @@
             let answer = Message::Answer { boot, sent: 0, granted, refused };
             self.node.book.receive(self.now, Member(voter), answer);
         }
-        self.now = self.now.after(LEASE.renew());
+        self.now = self.now.plus(LEASE.renew());
         let now = self.now;
         let sent: Vec<_> = watch.time(|| {
             let sent = self.node.tick(now).into_iter();
--- a/lab/src/experiments/slopes/listing.rs
+++ b/lab/src/experiments/slopes/listing.rs
@@ -5,8 +5,8 @@
 use super::{Plan, least_of};
 use crate::capacity::cost::Cost;
 use crate::capacity::fit::Point;
-use onyxrock::core::Names;
-use onyxrock::interface::{Micros, Repute};
+use onyxrock::core::NameIndex;
+use onyxrock::interface::{Micros, RetainedHealth};
 use onyxrock_config::list::Reader;
 use onyxrock_roster::{Directory, Follows, Memories, Rules, Staged, Terms, Whose};
 use std::io::{Read, Write};
@@ -52,7 +52,7 @@
 
 /// Memory of what is remembered of destinations at rest: of each destination and of its endpoint.
 pub fn resting_memory(plan: &Plan) -> Vec<(Cost, Vec<Point>)> {
-    let repute = Repute { served: 5.0, ..Repute::default() };
+    let repute = RetainedHealth { served_per_s: 5.0, ..RetainedHealth::default() };
     let make = |n: u64| {
         let mut memories = Memories::new(Terms::default());
         for destination in 0..n {
@@ -66,7 +66,7 @@
 }
 
 /// Reads an answer and applies it, as the daemon's list and its module do.
-fn apply(text: &[u8], names: &Names, directory: &mut Directory) -> Result<(), String> {
+fn apply(text: &[u8], names: &NameIndex, directory: &mut Directory) -> Result<(), String> {
     let mut staged = Staged::new(usize::MAX, STAGED_BYTES);
     let mut reader = Reader::new(names);
     reader.feed(text, |l| staged.push(&as_endpoint(&l)).map_err(|e| format!("{e:?}")))?;
--- a/lab/src/experiments/slopes/members.rs
+++ b/lab/src/experiments/slopes/members.rs
@@ -54,7 +54,7 @@
 
     /// Delivers what has come, and does what is due. The members' work is timed; each datagram goes through a socket.
     fn step(&mut self, watch: &mut Stopwatch) {
-        self.now = self.now.after(STEP);
+        self.now = self.now.plus(STEP);
         let now = self.now;
         let later = self.flying.split_off(&Micros(now.0 + 1));
         let come: Vec<_> = std::mem::replace(&mut self.flying, later).into_values().flatten().collect();
@@ -73,11 +73,11 @@
             }
             sent
         });
-        self.flying.entry(now.after(DELAY)).or_default().extend(sent);
+        self.flying.entry(now.plus(DELAY)).or_default().extend(sent);
     }
 
     fn run(&mut self, span: Micros, watch: &mut Stopwatch) {
-        let end = self.now.after(span);
+        let end = self.now.plus(span);
         while self.now < end {
             self.step(watch);
         }
@@ -119,7 +119,7 @@
 fn together(members: u16, seed: u64) -> Result<Group, String> {
     let mut group = Group::new(members, seed)?;
     let mut unused = Stopwatch::default();
-    let late = group.now.after(JOIN_MOST);
+    let late = group.now.plus(JOIN_MOST);
     while !group.together() {
         if group.now > late {
             return Err(format!("{members} members have not found each other in time"));
--- a/lab/src/experiments/slopes/wire.rs
+++ b/lab/src/experiments/slopes/wire.rs
@@ -1,8 +1,8 @@
 //! Datagrams over a loopback socket, and the entries of a list, as they are on the wire.
 
 use crate::world::discovery::line;
-use onyxrock::core::Names;
-use onyxrock::interface::Listing;
+use onyxrock::core::NameIndex;
+use onyxrock::interface::EntryState;
 use onyxrock_daemon::list::endpoint;
 use onyxrock_duties::{Member, Message};
 use onyxrock_membership::{Body, Key, Keys, Refused, Seal};
@@ -71,9 +71,9 @@
 }
 
 /// Names as a deployment has them.
-pub fn names() -> Names {
+pub fn names() -> NameIndex {
     let one = |name: &str| [(name.to_owned(), 0)].into();
-    Names { classes: one("status"), kinds: one("club"), zones: one("floor-2"), ..Names::default() }
+    NameIndex { classes: one("status"), kinds: one("club"), zones: one("floor-2"), ..NameIndex::default() }
 }
 
 pub fn name_of(destination: u64) -> String {
@@ -104,7 +104,7 @@
         kind: 0,
         destination,
         weight: 50.0,
-        listing: Listing::Ready,
+        listing: EntryState::Ready,
     }
 }
 
--- a/lab/src/scale/cluster.rs
+++ b/lab/src/scale/cluster.rs
@@ -7,7 +7,7 @@
 use super::meter::Reading;
 use super::placement::{Region, Zone, zone_of};
 use super::shard::{Arrival, Command, Departure, Handle, Reply};
-use onyxrock::core::Names;
+use onyxrock::core::NameIndex;
 use onyxrock::interface::Micros;
 use onyxrock_config::duties::{Duties, Member as Named, Probe};
 use onyxrock_config::list::{self, List};
@@ -84,7 +84,7 @@
 
 /// The list that all start with.
 fn known(listed: u64) -> Result<List, String> {
-    list::parse(&text(FIRST_GENERATION, true, first_lines(0, listed)), &Names::default())
+    list::parse(&text(FIRST_GENERATION, true, first_lines(0, listed)), &NameIndex::default())
 }
 
 impl Cluster {
@@ -222,10 +222,10 @@
     /// # Errors
     /// A shard has ended.
     pub fn run_with_changes(&mut self, span: Micros, per_s: f64) -> Result<(), String> {
-        let end = self.now.after(span);
+        let end = self.now.plus(span);
         loop {
             let pause = -self.rng.random_range(f64::MIN_POSITIVE..1.0).ln() / per_s;
-            let next = self.now.after(Micros::from_secs(pause));
+            let next = self.now.plus(Micros::from_secs(pause));
             if next >= end {
                 return self.run_until(end);
             }
@@ -239,7 +239,7 @@
     /// # Errors
     /// A shard has ended.
     pub fn run(&mut self, span: Micros) -> Result<(), String> {
-        self.run_until(self.now.after(span))
+        self.run_until(self.now.plus(span))
     }
 
     fn run_until(&mut self, end: Micros) -> Result<(), String> {
@@ -248,7 +248,7 @@
             let next = self.next.iter().copied().chain(waiting).chain(self.discovery_due()).min();
             let from = next.unwrap_or(end).clamp(self.now, end);
             // Nothing that is sent from then on can arrive before this.
-            let until = from.after(WITHIN_ZONE).min(end);
+            let until = from.plus(WITHIN_ZONE).min(end);
             self.window(until)?;
             self.now = until;
         }
@@ -289,7 +289,7 @@
         match sent {
             Sent::Datagram(to, bytes) => {
                 if let Some(takes) = self.links.carry(node, Node::Forwarder(to)) {
-                    let arrival = Arrival { at: at.after(takes), to, order, input: Input::Datagram(bytes) };
+                    let arrival = Arrival { at: at.plus(takes), to, order, input: Input::Datagram(bytes) };
                     let shard = self.shard_of(to);
                     self.arrivals[shard].push(arrival);
                 }
@@ -301,7 +301,7 @@
 
     fn ask(&mut self, at: Micros, call: Call, number: u64, question: ToDiscovery) {
         if let Some(takes) = self.links.carry(Node::Forwarder(call.member), Node::Discovery) {
-            self.questions.insert((at.after(takes), call, number), question);
+            self.questions.insert((at.plus(takes), call, number), question);
         }
     }
 
@@ -329,7 +329,7 @@
         self.answers += 1;
         let (order, input) = ((Node::Discovery, self.answers), Input::Answer(answer.call, answer.body));
         let shard = self.shard_of(to);
-        self.arrivals[shard].push(Arrival { at: at.after(takes), to, order, input });
+        self.arrivals[shard].push(Arrival { at: at.plus(takes), to, order, input });
     }
 
     /// Every forwarder that runs, in order.
--- a/lab/src/scale/discovery.rs
+++ b/lab/src/scale/discovery.rs
@@ -166,7 +166,7 @@
             let body = self.since(since);
             return Some(self.answered(call, body));
         }
-        let until = now.after(ask.wait);
+        let until = now.plus(ask.wait);
         self.watches.insert(call, Watch { since, until });
         self.ends.insert((until, call), ());
         None
--- a/lab/src/scale/follower.rs
+++ b/lab/src/scale/follower.rs
@@ -116,7 +116,7 @@
         self.calls += 1;
         let call = Call { member: self.member, number: self.calls };
         let wait = if self.role == Role::Told { Micros(0) } else { self.wait };
-        self.open = Some(Open { call, since: now, until: now.after(self.wait).after(GRACE) });
+        self.open = Some(Open { call, since: now, until: now.plus(self.wait).plus(GRACE) });
         actions.push(Action::Ask(call, Ask { since: self.generation, wait }));
     }
 
@@ -130,7 +130,7 @@
     }
 
     /// What the instance that asks for the list has told, or who that is.
-    pub fn take(&mut self, message: ToList, names: &onyxrock::core::Names, actions: &mut Vec<Action>) {
+    pub fn take(&mut self, message: ToList, names: &onyxrock::core::NameIndex, actions: &mut Vec<Action>) {
         // Whatever comes, the actor begins its turn anew, and with it its call.
         if let Some(open) = self.open.take() {
             actions.push(Action::Close(open.call));
@@ -155,7 +155,7 @@
 
     /// Discovery has answered a call.
     pub fn answered(
-        &mut self, now: Micros, call: Call, body: &[u8], names: &onyxrock::core::Names,
+        &mut self, now: Micros, call: Call, body: &[u8], names: &onyxrock::core::NameIndex,
         actions: &mut Vec<Action>,
     ) {
         let Some(open) = self.open.filter(|open| open.call == call) else { return };
@@ -171,7 +171,7 @@
         }
         self.generation = Some(list.generation);
         if now.since(open.since) < AT_ONCE {
-            self.pause = Some(now.after(PAUSE));
+            self.pause = Some(now.plus(PAUSE));
         }
         actions.push(Action::Take(list));
     }
--- a/lab/src/scale/forwarder.rs
+++ b/lab/src/scale/forwarder.rs
@@ -6,7 +6,7 @@
 use super::meter::{Reading, Usage};
 use super::wire::{self, Audience};
 use async_channel::{Receiver, bounded};
-use onyxrock::core::{Ledger, Names, Step, probes};
+use onyxrock::core::{Ledger, LedgerAction, NameIndex, add_probe_class};
 use onyxrock::interface::{ClassSettings, Effect, Event, KindSettings, Micros, Settings};
 use onyxrock_config::duties::Duties;
 use onyxrock_config::list::{List, Listed};
@@ -72,7 +72,7 @@
 /// One forwarder without messages.
 pub struct Forwarder {
     member: Member,
-    names: Names,
+    names: NameIndex,
     membership: Membership,
     probing: Probing,
     ledger: Ledger,
@@ -86,24 +86,24 @@
 /// The settings of the core, of one of so many senders.
 fn settings(members: u16, member: Member) -> Settings {
     let class = ClassSettings {
-        aim: Micros(800_000),
-        give_up: GIVE_UP,
+        target_latency: Micros(800_000),
+        give_up_after: GIVE_UP,
         effect: Effect::Safe,
-        worth: 1.0,
-        late_share: 0.1,
+        value: 1.0,
+        late_value_share: 0.1,
         ..ClassSettings::default()
     };
     Settings {
         classes: vec![class],
-        kinds: vec![KindSettings { apart: false, batch: 1 }],
+        kinds: vec![KindSettings { separate_routes: false, messages_per_call: 1 }],
         slots: 24,
         max_held: 450,
         max_attempts: 12,
-        senders: u32::from(members),
-        number: u32::from(member.0),
-        subscribe: true,
-        ask_every: ASK_EVERY,
-        notes: true,
+        sender_count: u32::from(members),
+        sender_index: u32::from(member.0),
+        subscribe_to_list: true,
+        list_poll_interval: ASK_EVERY,
+        peer_hints: true,
         ..Settings::default()
     }
 }
@@ -117,7 +117,7 @@
         kind: u16::try_from(listed.entry.kind.0).unwrap_or(u16::MAX),
         destination: listed.entry.destination.0,
         weight: listed.entry.weight as f32,
-        listing: listed.entry.listing,
+        listing: listed.entry.state,
     }
 }
 
@@ -155,8 +155,8 @@
         let membership = Membership::new(seen, now.0 + life, entropy, now);
         let mut settings = settings(members, member);
         let hold_back = Micros(duties.lease.0 * 3);
-        let class = probes(&mut settings, Micros(duties.probe.patience.0 * 2), hold_back);
-        let mut ledger = Ledger::new(settings, Names::default(), Default::default(), entropy);
+        let class = add_probe_class(&mut settings, Micros(duties.probe.patience.0 * 2), hold_back);
+        let mut ledger = Ledger::new(settings, NameIndex::default(), Default::default(), entropy);
         let (peers, to_peers) = bounded((4 * usize::from(members)).max(1024));
         let (list, to_list) = bounded(64);
         let memory = match kept.get() {
@@ -171,9 +171,9 @@
         let probing = Probing::new(duties, member, boot, now, class, peers, list, memory, keep);
         let mut directory = directory();
         take(&mut directory, now, &setup.known);
-        ledger.list(now, Event::ListChanges(Vec::new()));
+        ledger.on_list_event(now, Event::ListChanges(Vec::new()));
         let follower = Follower::new(member, WATCH, setup.known.generation);
-        let (names, usage) = (Names::default(), Usage::default());
+        let (names, usage) = (NameIndex::default(), Usage::default());
         Forwarder {
             member,
             names,
@@ -192,7 +192,7 @@
     #[must_use]
     pub fn due(&self) -> Micros {
         let fixed = [self.membership.due(), self.probing.due()];
-        let open = self.ledger.due().into_iter().chain(self.follower.due());
+        let open = self.ledger.decide_due().into_iter().chain(self.follower.due());
         fixed.into_iter().chain(open).min().unwrap_or(Micros(u64::MAX))
     }
 
@@ -297,7 +297,7 @@
                 Action::Take(list) => self.take(now, &list, results),
                 Action::Failed => {
                     self.probing.listed(None);
-                    self.ledger.list(now, Event::ListFailed);
+                    self.ledger.on_list_event(now, Event::ListFailed);
                 }
             }
         }
@@ -308,10 +308,10 @@
     fn take(&mut self, now: Micros, list: &List, results: &mut Results) {
         let follows = take(&mut self.directory, now, list);
         if !follows.entries.is_empty() {
-            self.ledger.list(now, Event::Known(follows.entries));
+            self.ledger.on_list_event(now, Event::CachedEntries(follows.entries));
         }
         self.probing.listed(Some(list.generation));
-        self.ledger.list(now, Event::ListChanges(Vec::new()));
+        self.ledger.on_list_event(now, Event::ListChanges(Vec::new()));
         let (name, destination) = added_by(list.generation);
         if self.directory.destination_of(&name) == Some(destination) {
             results.adopted.push(Adopted { at: now, member: self.member, generation: list.generation });
@@ -323,7 +323,7 @@
         self.probing.settle(now, &mut self.ledger);
         let mut steps = Vec::new();
         self.ledger.decide(now, true, &mut steps);
-        let follow = steps.iter().any(|step| matches!(step, Step::Follow));
+        let follow = steps.iter().any(|step| matches!(step, LedgerAction::RequestList));
         if follow {
             self.follower.follow();
         }
--- a/lab/src/scale/in_force.rs
+++ b/lab/src/scale/in_force.rs
@@ -145,7 +145,7 @@
             let Held { generation, reachable: Some(reachable), .. } = self.held[index] else { continue };
             for version in generation + 1..=last {
                 let Some(changed) = self.changed_at(version) else { continue };
-                if changed.max(reachable).after(JUDGED_AFTER) <= now {
+                if changed.max(reachable).plus(JUDGED_AFTER) <= now {
                     self.missing += 1;
                     self.count(now, Member(index as u16), version, last, reachable);
                 }
--- a/lab/src/scale/listing.rs
+++ b/lab/src/scale/listing.rs
@@ -3,7 +3,7 @@
 use super::discovery::{FIRST_GENERATION, first_lines, text};
 use super::forwarder::{directory, take};
 use super::meter::resident_bytes;
-use onyxrock::core::Names;
+use onyxrock::core::NameIndex;
 use onyxrock::interface::Micros;
 use onyxrock_config::list;
 use onyxrock_roster::Directory;
@@ -25,7 +25,7 @@
 /// The list cannot be read, or an entry found no place.
 pub fn hold(listed: u64) -> Result<Held, String> {
     let resident = || resident_bytes().ok_or("no figure of resident memory");
-    let (before, names, mut directory) = (resident()?, Names::default(), directory());
+    let (before, names, mut directory) = (resident()?, NameIndex::default(), directory());
     for from in (0..listed).step_by(AT_ONCE as usize) {
         let lines = first_lines(from, listed.min(from + AT_ONCE));
         let part = list::parse(&text(FIRST_GENERATION, false, lines), &names)?;
--- a/lab/src/scale/shard.rs
+++ b/lab/src/scale/shard.rs
@@ -205,7 +205,7 @@
     /// Sets the timer of a forwarder, unless the one that is set is early enough.
     fn arm(&mut self, now: Micros, member: Member) {
         let Some(forwarder) = self.forwarders.get(&member) else { return };
-        let due = forwarder.due().max(now.after(TIMER_STEP));
+        let due = forwarder.due().max(now.plus(TIMER_STEP));
         if self.timers.get(&member).is_some_and(|set| *set == due) {
             return;
         }
--- a/lab/src/senders.rs
+++ b/lab/src/senders.rs
@@ -20,34 +20,41 @@
 fn settings(senders: u32, number: u32) -> Settings {
     Settings {
         classes: vec![ClassSettings {
-            aim: Micros(800_000),
-            give_up: LEFT,
+            target_latency: Micros(800_000),
+            give_up_after: LEFT,
             effect: Effect::Safe,
-            worth: 1.0,
-            late_share: 0.1,
+            value: 1.0,
+            late_value_share: 0.1,
             ..ClassSettings::default()
         }],
-        kinds: vec![KindSettings { apart: false, batch: 1 }],
-        over_share_worth: 1.0,
+        kinds: vec![KindSettings { separate_routes: false, messages_per_call: 1 }],
+        over_share_value: 1.0,
         slots: (24 / senders).max(6),
         max_held: (1200 / senders).max(60),
         max_attempts: 12,
-        senders,
-        number,
-        subscribe: true,
+        sender_count: senders,
+        sender_index: number,
+        subscribe_to_list: true,
         weights: Weights::Rough,
-        fall_multiple: 2.0,
-        fall_window: Micros(3_000_000),
-        cold_from: 0.17,
-        warm_within: Micros(12_000_000),
-        ask_every: Micros(10_000_000),
+        collapse_multiple: 2.0,
+        collapse_window: Micros(3_000_000),
+        cold_start_share: 0.17,
+        warm_up_time: Micros(12_000_000),
+        list_poll_interval: Micros(10_000_000),
         ..Settings::default()
     }
 }
 
 fn listed(weight: f64) -> Event {
     let (destination, kind, zone) = (DestinationId(1), KindId(0), ZoneId(0));
-    Event::DiskList(vec![Entry { receiver: TO, listing: Listing::Ready, destination, kind, zone, weight }])
+    Event::PersistedList(vec![ListEntry {
+        receiver: TO,
+        state: EntryState::Ready,
+        destination,
+        kind,
+        zone,
+        weight,
+    }])
 }
 
 /// One module, and its calls that are out.
@@ -76,7 +83,7 @@
                     self.out.push((id, *attempt, now));
                     *attempt += 1;
                 }
-                Action::Follow => self.asks += 1,
+                Action::RequestList => self.asks += 1,
                 _ => {}
             }
         }
@@ -135,10 +142,10 @@
         for (at, second) in seen.iter_mut().enumerate() {
             let chance = (offered(at) * STEP.secs() / f64::from(self.senders)).min(1.0);
             for _ in 0..STEPS_PER_S {
-                now = now.after(STEP);
+                now = now.plus(STEP);
                 limit.pass(STEP);
                 for (s, delivered) in all.iter_mut().zip(&mut second.each) {
-                    s.event(now, Event::Wake);
+                    s.event(now, Event::TimerFired);
                     if dice.random_bool(chance) {
                         next += 1;
                         s.event(now, Event::Submit(message(next)));
@@ -160,13 +167,22 @@
 
 fn message(id: u64) -> Message {
     let (class, destination) = (ClassId(0), DestinationId(1));
-    Message { id: MessageId(id), class, tenant: None, key: None, destination, left: LEFT }
+    Message { id: MessageId(id), class, tenant: None, ordering_key: None, destination, time_left: LEFT }
 }
 
 fn outcome(id: MessageId, attempt: u32, verdict: Verdict, elapsed: Micros) -> Event {
     let finished = verdict == Verdict::Delivered;
     let (limit, left) = (None, None);
-    Event::Outcome(Outcome { id, attempt, receiver: TO, verdict, elapsed, finished, limit, left })
+    Event::Outcome(Outcome {
+        id,
+        attempt,
+        receiver: TO,
+        verdict,
+        elapsed,
+        finished,
+        limit_per_s: limit,
+        remaining_share: left,
+    })
 }
 
 /// Calls for the list that all senders make in each of ten seconds from one start, if none is answered. `held`: each
@@ -176,10 +192,10 @@
     for number in 0..senders {
         let mut s = Sender::new(senders, number);
         let start = Micros(5_000_000_000);
-        s.event(start, if held { listed(1.0) } else { Event::Wake });
+        s.event(start, if held { listed(1.0) } else { Event::TimerFired });
         for step in 0..10 * STEPS_PER_S {
-            let now = start.after(Micros(STEP.0 * step as u64));
-            s.event(now, Event::Wake);
+            let now = start.plus(Micros(STEP.0 * step as u64));
+            s.event(now, Event::TimerFired);
             // The failure may have it ask again, later.
             while s.asks > 0 {
                 s.asks -= 1;
--- a/membership/src/node.rs
+++ b/membership/src/node.rs
@@ -108,7 +108,7 @@
     }
     fn submit_after(&mut self, event: Timer<Life>, after: Duration) {
         *self.serial += 1;
-        let at = self.now.after(Micros(after.as_micros() as u64));
+        let at = self.now.plus(Micros(after.as_micros() as u64));
         self.timers.insert((at, *self.serial), event);
     }
 }
@@ -258,7 +258,7 @@
             let _ = self.act(now, |foca, ground| foca.change_identity(next, ground));
         }
         if now >= self.greet_at {
-            self.greet_at = now.after(GREET_EVERY);
+            self.greet_at = now.plus(GREET_EVERY);
             self.greet(now);
         }
     }
--- a/membership/src/seal.rs
+++ b/membership/src/seal.rs
@@ -280,7 +280,7 @@
         }
         if head.echo != peer.challenge {
             if peer.hello_at <= now {
-                peer.hello_at = now.after(HELLO_GAP);
+                peer.hello_at = now.plus(HELLO_GAP);
                 let answered = [head.boot.to_le_bytes(), head.number.to_le_bytes()].concat();
                 *reply = self.frame(head.from, HELLO, &answered).map(|h| (head.from, h));
             }
@@ -378,7 +378,7 @@
         assert_eq!(b2.read(NOW, &kept[0], &mut None).map(drop), Err(Refused::Unproven));
         // The sender restarts, and proves itself: what its last life had sent and never came is void.
         let mut a2 = Seal::new(A, 3, keys(1, &[1]), 8);
-        let later = NOW.after(HELLO_GAP);
+        let later = NOW.plus(HELLO_GAP);
         assert_eq!(pass(&mut a2, &mut b, later).0, Ok(()));
         assert_eq!(b.read(later, &kept[1], &mut None).map(drop), Err(Refused::Unproven));
         assert_eq!(pass(&mut a2, &mut b, later).0, Ok(()), "and it goes on");
--- a/roster/benches/table.rs
+++ b/roster/benches/table.rs
@@ -1,7 +1,7 @@
 //! Lookup, change, removal and list difference at several sizes: `cargo bench -p onyxrock-roster`.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use onyxrock::interface::{Listing, Micros, Repute};
+use onyxrock::interface::{EntryState, Micros, RetainedHealth};
 use onyxrock_roster::{Directory, Endpoint, Follows, Memories, Roster, Rules, Terms, Whose, Writer};
 use std::hint::black_box;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 
 fn entry(name: &str, i: u32) -> Endpoint<'_> {
     let address = SocketAddr::from((i.to_be_bytes(), 7070));
-    let (destination, listing) = (u64::from(i), Listing::Ready);
+    let (destination, listing) = (u64::from(i), EntryState::Ready);
     Endpoint { name, address, zone: "floor-2", kind: 1, destination, weight: 1.0, listing }
 }
 
@@ -95,7 +95,7 @@
                 let at = u64::from(100 + i % (n - 100));
                 let woken = d.touch(Micros(0), at, &mut follows).expect("it was at rest");
                 let each: Vec<_> = woken.each.iter().map(|(e, r)| (e.receiver, *r)).collect();
-                let whole = Repute { served: 2.0, ..Repute::default() };
+                let whole = RetainedHealth { served_per_s: 2.0, ..RetainedHealth::default() };
                 d.rested(Micros(0), at, whole, &each, &mut follows);
                 follows.orders.clear();
             });
@@ -115,7 +115,7 @@
 fn snapshot(c: &mut Criterion) {
     let mut memories = Memories::new(Terms::default());
     for i in 0..50_000u64 {
-        let r = Repute { served: 2.0, ..Repute::default() };
+        let r = RetainedHealth { served_per_s: 2.0, ..RetainedHealth::default() };
         memories.keep(Micros(i), Whose::Destination(i), r);
     }
     let copy = || memories.iter().map(|(w, m)| (w.clone(), *m)).collect::<Vec<_>>();
--- a/roster/src/awake.rs
+++ b/roster/src/awake.rs
@@ -39,7 +39,7 @@
     pub fn touch(&mut self, now: Micros, destination: u64) -> bool {
         let woken = self.used.insert(destination, now).is_none();
         if let Some(rest) = self.rest.filter(|_| woken) {
-            self.looks.insert((now.after(rest), destination));
+            self.looks.insert((now.plus(rest), destination));
         }
         woken
     }
@@ -50,9 +50,9 @@
         while let Some((at, destination)) = self.looks.first().copied().filter(|l| l.0 <= now) {
             self.looks.remove(&(at, destination));
             let Some(used) = self.used.get(&destination) else { continue };
-            let due = used.after(rest);
+            let due = used.plus(rest);
             if due <= now {
-                self.looks.insert((now.after(rest), destination));
+                self.looks.insert((now.plus(rest), destination));
                 return Some(destination);
             }
             self.looks.insert((due, destination));
@@ -63,7 +63,7 @@
     pub fn rested(&mut self, now: Micros, destination: u64) {
         self.used.remove(&destination);
         if let Some(rest) = self.rest {
-            self.looks.remove(&(now.after(rest), destination));
+            self.looks.remove(&(now.plus(rest), destination));
         }
         if self.used.len() * 4 < self.used.capacity() {
             self.used.shrink_to(self.used.len() * 2);
--- a/roster/src/directory.rs
+++ b/roster/src/directory.rs
@@ -4,7 +4,9 @@
 use crate::memory::{Memories, Terms, Whose};
 use crate::table::{Change, Endpoint, Id, Refused, Roster};
 use hashbrown::HashMap;
-use onyxrock::interface::{DestinationId, Entry, KindId, Listing, Micros, ReceiverId, Repute, ZoneId};
+use onyxrock::interface::{
+    DestinationId, EntryState, KindId, ListEntry, Micros, ReceiverId, RetainedHealth, ZoneId,
+};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
@@ -71,9 +73,9 @@
     /// In the order in which they are to be carried out.
     pub orders: Vec<Order>,
     /// Changed lines of the list.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<ListEntry>,
     /// What is still known of those among them that come into use.
-    pub recalled: Vec<(ReceiverId, Repute)>,
+    pub recalled: Vec<(ReceiverId, RetainedHealth)>,
     /// Those among them that operators have put back: they were restarted, and are cold.
     pub restarted: Vec<ReceiverId>,
 }
@@ -82,9 +84,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Woken {
     /// Of itself.
-    pub whole: Repute,
+    pub whole: RetainedHealth,
     /// Its endpoints, and what is known of each.
-    pub each: Vec<(Entry, Repute)>,
+    pub each: Vec<(ListEntry, RetainedHealth)>,
 }
 
 /// Whether something may be taken on for a destination.
@@ -115,7 +117,7 @@
     /// Endpoints that drain by a list which another process of this forwarder has had, and its version.
     pub(crate) drained_elsewhere: BTreeMap<String, u64>,
     /// What is told of the endpoints that no list names.
-    pub(crate) fixed_entries: BTreeMap<ReceiverId, Entry>,
+    pub(crate) fixed_entries: BTreeMap<ReceiverId, ListEntry>,
     last: u64,
     /// Those that are gone, and when to look whether they can be let go.
     leaving: BTreeSet<(Micros, ReceiverId)>,
@@ -247,7 +249,7 @@
     }
 
     /// An endpoint that no list names and that stays in use.
-    pub fn fix(&mut self, now: Micros, e: &Endpoint<'_>) -> (ReceiverId, Entry) {
+    pub fn fix(&mut self, now: Micros, e: &Endpoint<'_>) -> (ReceiverId, ListEntry) {
         let to = self.number();
         self.awake.touch(now, e.destination);
         self.fixed.insert(e.destination);
@@ -278,12 +280,12 @@
     }
 
     /// What the module is told of an endpoint: one that is ready and in maintenance, or drains elsewhere, drains.
-    pub(crate) fn entry(&self, receiver: ReceiverId, e: &Endpoint<'_>) -> Entry {
-        let held_out = e.listing == Listing::Ready
+    pub(crate) fn entry(&self, receiver: ReceiverId, e: &Endpoint<'_>) -> ListEntry {
+        let held_out = e.listing == EntryState::Ready
             && (self.maintenance.contains(e.name) || self.drained_elsewhere.contains_key(e.name));
-        Entry {
+        ListEntry {
             receiver,
-            listing: if held_out { Listing::Draining } else { e.listing },
+            state: if held_out { EntryState::Draining } else { e.listing },
             destination: DestinationId(e.destination),
             kind: KindId(if e.kind == u16::MAX { usize::MAX } else { usize::from(e.kind) }),
             zone: ZoneId(self.rules.zones.get(e.zone).copied().unwrap_or(usize::MAX)),
@@ -303,13 +305,13 @@
     }
 
     /// Brings an endpoint into use.
-    fn rouse(&mut self, now: Micros, id: Id, follows: &mut Follows) -> Option<(Entry, Repute)> {
+    fn rouse(&mut self, now: Micros, id: Id, follows: &mut Follows) -> Option<(ListEntry, RetainedHealth)> {
         let e = self.roster.get(id)?;
         let known = self.numbers.get(e.name).copied();
         let to = known.unwrap_or(ReceiverId(self.last + 1));
         let entry = self.entry(to, &e);
         // One that drained meanwhile has no time left in which a call might go.
-        let drains = (entry.listing != Listing::Ready).then_some(Micros(0));
+        let drains = (entry.state != EntryState::Ready).then_some(Micros(0));
         let (name, zone) = (e.name.to_owned(), e.zone.to_owned());
         let (destination, address) = (e.destination, e.address);
         let peer = Peer {
@@ -390,7 +392,7 @@
             (_, Some((to, p))) if p.destination != destination && !p.fixed => {
                 let (before, name) = (p.destination, p.name.clone());
                 // All but its wait, which was told by whoever is there.
-                let wait = Repute { wait_until: p.wait_until, ..Repute::default() };
+                let wait = RetainedHealth { wait_until: p.wait_until, ..RetainedHealth::default() };
                 self.memories.keep(now, Whose::Endpoint(name.as_str().into()), wait);
                 self.leave(now, to, follows);
                 self.numbers.remove(&name);
@@ -422,7 +424,7 @@
                     follows.orders.push(Order::Moved(to, address));
                 }
                 p.zone = zone;
-                p.drains = if entry.listing == Listing::Ready { None } else { p.drains.or(Some(now)) };
+                p.drains = if entry.state == EntryState::Ready { None } else { p.drains.or(Some(now)) };
                 follows.entries.push(entry);
             }
             _ => self.added(now, id, destination, follows),
@@ -436,7 +438,7 @@
             && let Some((entry, repute)) = self.rouse(now, id, follows)
         {
             // A route may come back under its name while others of its destination are in use.
-            if repute != Repute::default() {
+            if repute != RetainedHealth::default() {
                 follows.recalled.push((entry.receiver, repute));
             }
             follows.entries.push(entry);
@@ -449,20 +451,20 @@
         p.drains.get_or_insert(now);
         p.gone = true;
         follows.orders.push(Order::CloseIdle(to));
-        follows.entries.push(Entry {
+        follows.entries.push(ListEntry {
             receiver: to,
-            listing: Listing::Gone,
+            state: EntryState::Gone,
             destination: DestinationId(p.destination),
             kind: KindId(usize::MAX),
             zone: ZoneId(usize::MAX),
             weight: 0.0,
         });
-        self.leaving.insert((now.after(PEER_REST), to));
+        self.leaving.insert((now.plus(PEER_REST), to));
     }
 
     /// The last endpoint of a destination has left the list.
     fn departs(&mut self, now: Micros, destination: u64) {
-        let until = now.after(FORGET);
+        let until = now.plus(FORGET);
         self.left.insert(destination, until);
         self.left_order.push_back((until, destination));
         // Of many that go at once the first are known no more; those in use stay until they rest.
@@ -486,12 +488,12 @@
             self.leaving.remove(&(at, to));
             let Some(p) = self.peers.get(&to).filter(|p| p.gone) else { continue };
             if p.out > 0 {
-                self.leaving.insert((now.after(PEER_REST), to));
+                self.leaving.insert((now.plus(PEER_REST), to));
                 continue;
             }
             if let Some(p) = self.peers.remove(&to) {
                 follows.orders.push(Order::Close(to));
-                self.forget.insert((now.after(FORGET).max(p.wait_until), p.name));
+                self.forget.insert((now.plus(FORGET).max(p.wait_until), p.name));
             }
         }
         while self.forget.first().is_some_and(|(t, _)| *t <= now) {
@@ -527,8 +529,8 @@
 
     /// The module has forgotten a destination, and this is what it was like.
     pub fn rested(
-        &mut self, now: Micros, destination: u64, whole: Repute, each: &[(ReceiverId, Repute)],
-        follows: &mut Follows,
+        &mut self, now: Micros, destination: u64, whole: RetainedHealth,
+        each: &[(ReceiverId, RetainedHealth)], follows: &mut Follows,
     ) {
         self.memories.keep(now, Whose::Destination(destination), whole);
         for (to, repute) in each {
--- a/roster/src/maintenance.rs
+++ b/roster/src/maintenance.rs
@@ -2,7 +2,7 @@
 //! back, whatever lists say of it meanwhile: that it is ready, gone, or back at another address.
 
 use crate::directory::{Directory, Follows};
-use onyxrock::interface::{Entry, Listing, Micros, ReceiverId};
+use onyxrock::interface::{EntryState, ListEntry, Micros, ReceiverId};
 use std::collections::BTreeSet;
 
 /// No endpoint has this name: no list, no gateway, and nothing in maintenance.
@@ -33,7 +33,7 @@
             if out { self.maintenance.insert(name.to_owned()) } else { self.maintenance.remove(name) };
         let Some(to) = self.number_in_use(name).filter(|_| changed) else { return };
         // Operators restart what they have taken out.
-        if self.refresh(now, to, name, follows) == Some(Listing::Ready) {
+        if self.refresh(now, to, name, follows) == Some(EntryState::Ready) {
             follows.restarted.push(to);
         }
     }
@@ -67,11 +67,13 @@
     }
 
     /// Says anew what an endpoint in use is.
-    fn refresh(&mut self, now: Micros, to: ReceiverId, name: &str, follows: &mut Follows) -> Option<Listing> {
+    fn refresh(
+        &mut self, now: Micros, to: ReceiverId, name: &str, follows: &mut Follows,
+    ) -> Option<EntryState> {
         let entry = self.listed_entry(to, name)?;
-        let listing = entry.listing;
+        let listing = entry.state;
         if let Some(peer) = self.peers.get_mut(&to) {
-            peer.drains = if listing == Listing::Ready { None } else { peer.drains.or(Some(now)) };
+            peer.drains = if listing == EntryState::Ready { None } else { peer.drains.or(Some(now)) };
         }
         follows.entries.push(entry);
         Some(listing)
@@ -84,11 +86,11 @@
     }
 
     /// What is told of an endpoint in use now.
-    fn listed_entry(&self, to: ReceiverId, name: &str) -> Option<Entry> {
+    fn listed_entry(&self, to: ReceiverId, name: &str) -> Option<ListEntry> {
         if let Some(entry) = self.fixed_entries.get(&to) {
             let out = self.maintenance.contains(name);
-            let listing = if out { Listing::Draining } else { entry.listing };
-            return Some(Entry { listing, ..entry.clone() });
+            let listing = if out { EntryState::Draining } else { entry.state };
+            return Some(ListEntry { state: listing, ..entry.clone() });
         }
         let endpoint = self.roster.get(self.roster.find(name)?)?;
         Some(self.entry(to, &endpoint))
--- a/roster/src/memory.rs
+++ b/roster/src/memory.rs
@@ -1,7 +1,7 @@
 //! What is kept of destinations and routes at rest, and what it is still worth when they wake.
 
 use hashbrown::HashMap;
-use onyxrock::interface::{Micros, Repute};
+use onyxrock::interface::{Micros, RetainedHealth};
 use serde::{Deserialize, Serialize};
 
 /// How fast what was learned ages.
@@ -36,14 +36,14 @@
 impl Memory {
     /// Of one that goes to rest now.
     #[must_use]
-    pub fn of(now: Micros, r: Repute) -> Memory {
-        Memory { rested: now, wait_until: r.wait_until, served: r.served as f32, sick: r.sick }
+    pub fn of(now: Micros, r: RetainedHealth) -> Memory {
+        Memory { rested: now, wait_until: r.wait_until, served: r.served_per_s as f32, sick: r.unhealthy }
     }
 
     /// What it is worth at a time: half its rate after each half-life, nothing if it was out of order; a clock that
     /// went back makes nothing younger.
     #[must_use]
-    pub fn recall(&self, now: Micros, terms: Terms) -> Repute {
+    pub fn recall(&self, now: Micros, terms: Terms) -> RetainedHealth {
         let age = now.since(self.rested);
         let wait_until = if self.wait_until > now { self.wait_until } else { Micros(0) };
         let served = if self.sick || age >= terms.forget || !self.served.is_finite() {
@@ -52,13 +52,13 @@
             let halves = age.secs() / terms.half_life.secs().max(1e-6);
             f64::from(self.served.max(0.0)) * (-halves).exp2()
         };
-        Repute { served, wait_until, sick: self.sick && age < terms.forget }
+        RetainedHealth { served_per_s: served, wait_until, unhealthy: self.sick && age < terms.forget }
     }
 
     /// Nothing in it is worth keeping any more.
     #[must_use]
     pub fn is_stale(&self, now: Micros, terms: Terms) -> bool {
-        self.recall(now, terms) == Repute::default()
+        self.recall(now, terms) == RetainedHealth::default()
     }
 }
 
@@ -100,7 +100,7 @@
     }
     /// Keeps what one was like, unless that is nothing. When there are twice as many as there were worth keeping at the
     /// last look, all are looked at: O(1) for each that came.
-    pub fn keep(&mut self, now: Micros, whose: Whose, r: Repute) {
+    pub fn keep(&mut self, now: Micros, whose: Whose, r: RetainedHealth) {
         let m = Memory::of(now, r);
         if m.is_stale(now, self.terms) {
             self.all.remove(&whose);
@@ -116,7 +116,7 @@
         }
     }
     /// Takes out what is still known of one.
-    pub fn take(&mut self, now: Micros, whose: &Whose) -> Repute {
+    pub fn take(&mut self, now: Micros, whose: &Whose) -> RetainedHealth {
         let known = self.all.remove(whose);
         self.changes += u64::from(known.is_some());
         known.map(|m| m.recall(now, self.terms)).unwrap_or_default()
@@ -148,7 +148,7 @@
     #[test]
     fn a_rate_halves_and_then_is_nothing() {
         let m = Memory { rested: Micros(1000), served: 8.0, ..Memory::default() };
-        let at = |now| m.recall(Micros(now), T).served as f32;
+        let at = |now| m.recall(Micros(now), T).served_per_s as f32;
         assert_eq!((at(1000), at(1100), at(1300), at(2000)), (8.0, 4.0, 1.0, 0.0));
         assert_eq!(at(500), 8.0, "a clock that went back");
         assert!(!m.is_stale(Micros(1999), T) && m.is_stale(Micros(2000), T));
@@ -157,22 +157,26 @@
     #[test]
     fn what_was_sick_has_no_rate_and_a_wait_outlives_the_rest() {
         let m = Memory { rested: Micros(0), wait_until: Micros(5000), served: 8.0, sick: true };
-        let r = Repute { served: 0.0, wait_until: Micros(5000), sick: true };
+        let r = RetainedHealth { served_per_s: 0.0, wait_until: Micros(5000), unhealthy: true };
         assert_eq!(m.recall(Micros(10), T), r);
-        assert_eq!(m.recall(Micros(4000), T), Repute { sick: false, ..r });
+        assert_eq!(m.recall(Micros(4000), T), RetainedHealth { unhealthy: false, ..r });
         assert!(!m.is_stale(Micros(4999), T) && m.is_stale(Micros(5000), T));
         let odd = Memory { served: f32::NAN, ..Memory::default() };
-        assert_eq!(odd.recall(Micros(1), T).served, 0.0);
+        assert_eq!(odd.recall(Micros(1), T).served_per_s, 0.0);
     }
 
     #[test]
     fn memories_that_are_worth_nothing_do_not_pile_up() {
         let mut all = Memories::new(T);
         for i in 0..100_000 {
-            all.keep(Micros(i), Whose::Destination(i), Repute { served: 1.0, ..Repute::default() });
+            all.keep(
+                Micros(i),
+                Whose::Destination(i),
+                RetainedHealth { served_per_s: 1.0, ..RetainedHealth::default() },
+            );
         }
         assert!(all.len() <= 2 * 1000 + 1, "{}: a thousand are worth something at any time", all.len());
-        all.keep(Micros(0), Whose::Destination(7), Repute::default());
-        assert_eq!(all.take(Micros(0), &Whose::Destination(7)), Repute::default());
+        all.keep(Micros(0), Whose::Destination(7), RetainedHealth::default());
+        assert_eq!(all.take(Micros(0), &Whose::Destination(7)), RetainedHealth::default());
     }
 }
--- a/roster/src/staged.rs
+++ b/roster/src/staged.rs
@@ -1,7 +1,7 @@
 //! A list on its way in.
 
 use crate::table::{Endpoint, Refused};
-use onyxrock::interface::Listing;
+use onyxrock::interface::EntryState;
 use std::net::SocketAddr;
 
 /// Entries of one block. It is what a table takes in one turn, and small enough that freed ones are used again.
@@ -15,7 +15,7 @@
     weight: f32,
     zone: u16,
     kind: u16,
-    listing: Listing,
+    listing: EntryState,
 }
 
 /// Some entries of a list, in its order; their names lie in one run of bytes.
@@ -133,8 +133,11 @@
             weight: 1.5,
             listing,
         };
-        let all =
-            [one("a", "x", Listing::Ready), one("", "y", Listing::Gone), one("cc", "x", Listing::Draining)];
+        let all = [
+            one("a", "x", EntryState::Ready),
+            one("", "y", EntryState::Gone),
+            one("cc", "x", EntryState::Draining),
+        ];
         let mut s = Staged::new(900, 1 << 20);
         (0..900).for_each(|i| s.push(&all[i % 3]).unwrap());
         assert_eq!((s.push(&all[0]), s.len()), (Err(Refused::Full), 900));
@@ -146,6 +149,6 @@
         let taken = (0..10_000).take_while(|_| small.push(&all[1]).is_ok()).count();
         assert!(taken == 3 * BLOCK && small.bytes() <= bytes, "{taken}");
         let long = "n".repeat(70_000);
-        assert_eq!(Staged::new(9, 1 << 20).push(&one(&long, "x", Listing::Ready)), Err(Refused::Shape));
+        assert_eq!(Staged::new(9, 1 << 20).push(&one(&long, "x", EntryState::Ready)), Err(Refused::Shape));
     }
 }
--- a/roster/src/table.rs
+++ b/roster/src/table.rs
@@ -1,7 +1,7 @@
 //! The table.
 
 use hashbrown::{DefaultHashBuilder, HashTable};
-use onyxrock::interface::Listing;
+use onyxrock::interface::EntryState;
 use slab::Slab;
 use std::hash::BuildHasher;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -26,7 +26,7 @@
     /// Calls a second that its destination takes, roughly.
     pub weight: f32,
     /// Its state.
-    pub listing: Listing,
+    pub listing: EntryState,
 }
 
 /// What a [`Roster::put`] or a sweep changed.
@@ -71,7 +71,7 @@
     zone: u16,
     kind: u16,
     v6: bool,
-    listing: Listing,
+    listing: EntryState,
 }
 
 /// All endpoints that the list names.
@@ -220,7 +220,7 @@
         if let Some(id) = self.find(e.name) {
             return self.update(id, &e, epoch);
         }
-        if e.listing == Listing::Gone {
+        if e.listing == EntryState::Gone {
             return Ok(None);
         }
         let name_len = u16::try_from(e.name.len()).map_err(|_| Refused::Shape)?;
@@ -270,7 +270,7 @@
             return Ok(None);
         }
         let zone = self.zone(e.zone)?;
-        let was_gone = self.records[at].listing == Listing::Gone;
+        let was_gone = self.records[at].listing == EntryState::Gone;
         if destination != e.destination {
             self.leave(id.0);
             self.records[at].destination = e.destination;
@@ -282,7 +282,7 @@
         }
         let r = &mut self.records[at];
         (r.port, r.zone, r.kind, r.weight, r.listing) = (e.address.port(), zone, e.kind, e.weight, e.listing);
-        let gone = e.listing == Listing::Gone;
+        let gone = e.listing == EntryState::Gone;
         Ok(if gone && was_gone {
             None
         } else {
@@ -387,8 +387,8 @@
         let to = (from.saturating_add(most.max(1))).min(self.records.capacity());
         for at in from..to {
             let Some(r) = self.records.get_mut(at) else { continue };
-            if r.epoch != self.epoch && r.listing != Listing::Gone {
-                r.listing = Listing::Gone;
+            if r.epoch != self.epoch && r.listing != EntryState::Gone {
+                r.listing = EntryState::Gone;
                 gone.push(Change::Gone(Id(at as u32)));
             }
         }
--- a/roster/tests/directory.rs
+++ b/roster/tests/directory.rs
@@ -1,6 +1,6 @@
 //! What is listed, in use and at rest, through the changes that lists bring.
 
-use onyxrock::interface::{Listing, Micros, ReceiverId, Repute};
+use onyxrock::interface::{EntryState, Micros, ReceiverId, RetainedHealth};
 use onyxrock_roster::{Directory, Endpoint, Follows, Order, Refused, Rules, Standing, Terms, Whose};
 use std::net::SocketAddr;
 
@@ -17,7 +17,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn one(name: &str, destination: u64, listing: Listing) -> Endpoint<'_> {
+fn one(name: &str, destination: u64, listing: EntryState) -> Endpoint<'_> {
     Endpoint { name, address: at(7), zone: "z", kind: 1, destination, weight: 2.0, listing }
 }
 
@@ -33,7 +33,7 @@
     let mut follows = Follows::default();
     d.begin();
     for (i, name) in names.iter().enumerate() {
-        d.put(now, one(name, i as u64, Listing::Ready), &mut follows).unwrap();
+        d.put(now, one(name, i as u64, EntryState::Ready), &mut follows).unwrap();
     }
     while !d.sweep(now, 1000, &mut follows) {}
     d.taken();
@@ -44,7 +44,7 @@
     (from..to).map(|i| format!("e-{i}")).collect()
 }
 
-fn wake(d: &mut Directory, now: Micros, destination: u64) -> (Vec<ReceiverId>, Follows, Repute) {
+fn wake(d: &mut Directory, now: Micros, destination: u64) -> (Vec<ReceiverId>, Follows, RetainedHealth) {
     let mut follows = Follows::default();
     let woken = d.touch(now, destination, &mut follows).expect("it was at rest");
     (woken.each.iter().map(|(e, _)| e.receiver).collect(), follows, woken.whole)
@@ -61,7 +61,7 @@
     let (to, follows, _) = wake(&mut d, s(1.0), 7);
     assert_eq!(follows.orders, [Order::Open(to[0], at(7))]);
     let e = d.touch(s(1.0), 8, &mut Follows::default()).unwrap().each[0].0.clone();
-    assert_eq!((e.zone.0, e.kind.0, e.weight, e.listing), (3, 1, 2.0, Listing::Ready));
+    assert_eq!((e.zone.0, e.kind.0, e.weight, e.state), (3, 1, 2.0, EntryState::Ready));
     assert!(d.touch(s(2.0), 7, &mut Follows::default()).is_none(), "awake already");
 }
 
@@ -76,7 +76,7 @@
     assert_eq!(d.tired(s(10.9)), None);
     let (mut follows, mut rests) = (Follows::default(), 0);
     while let Some(destination) = d.tired(s(12.1)) {
-        let served = Repute { served: 4.0, ..Repute::default() };
+        let served = RetainedHealth { served_per_s: 4.0, ..RetainedHealth::default() };
         d.rested(s(12.1), destination, served, &[], &mut follows);
         rests += 1;
     }
@@ -84,7 +84,7 @@
     assert_eq!(d.memories().len(), 10_000);
     let (to, _, whole) = wake(&mut d, s(612.1), 5);
     assert_eq!(
-        (whole.served, to),
+        (whole.served_per_s, to),
         (2.0, vec![ReceiverId(10_001)]),
         "worth half after a half-life; a number of its own"
     );
@@ -115,18 +115,18 @@
     whole(&mut d, s(0.0), &names(0, 100));
     whole(&mut d, s(1.0), &names(100, 200));
     assert_eq!(d.listed(), 100);
-    let refused = d.put(s(2.0), one("more", 999, Listing::Ready), &mut Follows::default());
+    let refused = d.put(s(2.0), one("more", 999, EntryState::Ready), &mut Follows::default());
     assert_eq!((refused, d.listed()), (Err(Refused::Full), 100));
-    put(&mut d, s(2.0), one("e-150", 50, Listing::Draining));
+    put(&mut d, s(2.0), one("e-150", 50, EntryState::Draining));
 }
 
 #[test]
 fn one_that_drains_or_goes_at_rest_gets_nothing_when_its_destination_wakes() {
     let mut d = Directory::new(rules(None));
-    put(&mut d, s(0.0), one("a", 1, Listing::Ready));
-    put(&mut d, s(0.0), one("b", 1, Listing::Ready));
-    put(&mut d, s(1.0), one("a", 1, Listing::Draining));
-    put(&mut d, s(1.0), one("b", 1, Listing::Gone));
+    put(&mut d, s(0.0), one("a", 1, EntryState::Ready));
+    put(&mut d, s(0.0), one("b", 1, EntryState::Ready));
+    put(&mut d, s(1.0), one("a", 1, EntryState::Draining));
+    put(&mut d, s(1.0), one("b", 1, EntryState::Gone));
     let (to, _, _) = wake(&mut d, s(5.0), 1);
     assert_eq!(to.len(), 1);
     let a = d.peer(to[0]).unwrap();
@@ -136,13 +136,13 @@
 #[test]
 fn one_that_drains_while_awake_has_the_time_from_when_it_was_told() {
     let mut d = Directory::new(rules(None));
-    put(&mut d, s(0.0), one("a", 1, Listing::Ready));
+    put(&mut d, s(0.0), one("a", 1, EntryState::Ready));
     let (to, _, _) = wake(&mut d, s(1.0), 1);
-    let follows = put(&mut d, s(2.0), one("a", 1, Listing::Draining));
-    assert_eq!((follows.entries[0].listing, follows.orders.len()), (Listing::Draining, 0));
-    put(&mut d, s(3.0), one("a", 1, Listing::Gone));
+    let follows = put(&mut d, s(2.0), one("a", 1, EntryState::Draining));
+    assert_eq!((follows.entries[0].state, follows.orders.len()), (EntryState::Draining, 0));
+    put(&mut d, s(3.0), one("a", 1, EntryState::Gone));
     assert_eq!(d.peer(to[0]).unwrap().drains, Some(s(2.0)));
-    put(&mut d, s(4.0), one("a", 1, Listing::Ready));
+    put(&mut d, s(4.0), one("a", 1, EntryState::Ready));
     assert_eq!(
         (d.number_of("a"), d.peer(to[0]).unwrap().drains),
         (Some(to[0]), None),
@@ -156,18 +156,18 @@
     let mut d = Directory::new(rules(None));
     for i in 0..300u64 {
         let (now, name) = (s(i as f64), format!("e-{i}"));
-        put(&mut d, now, one(&name, i, Listing::Ready));
+        put(&mut d, now, one(&name, i, EntryState::Ready));
         let (to, follows, _) = wake(&mut d, now, i);
         assert_eq!(
             (to[0], &follows.orders[0]),
             (ReceiverId(i + 1), &Order::Open(to[0], at(7))),
             "a number of its own"
         );
-        put(&mut d, now, one(&name, i, Listing::Gone));
+        put(&mut d, now, one(&name, i, EntryState::Gone));
         let mut follows = Follows::default();
         d.tidy(now, &mut follows);
         while let Some(destination) = d.tired(now) {
-            d.rested(now, destination, Repute::default(), &[], &mut follows);
+            d.rested(now, destination, RetainedHealth::default(), &[], &mut follows);
         }
     }
     assert!(d.peers().len() <= 4 && d.awake() <= 77, "{} {}", d.peers().len(), d.awake());
@@ -188,40 +188,40 @@
 #[test]
 fn an_endpoint_that_moves_to_another_destination_is_another_one() {
     let mut d = Directory::new(rules(None));
-    put(&mut d, s(0.0), one("a", 1, Listing::Ready));
+    put(&mut d, s(0.0), one("a", 1, EntryState::Ready));
     let (to, _, _) = wake(&mut d, s(1.0), 1);
     wake(&mut d, s(1.0), 2);
-    let follows = put(&mut d, s(2.0), one("a", 2, Listing::Ready));
-    let told: Vec<_> = follows.entries.iter().map(|e| (e.destination.0, e.listing)).collect();
-    assert_eq!(told, [(1, Listing::Gone), (2, Listing::Ready)]);
+    let follows = put(&mut d, s(2.0), one("a", 2, EntryState::Ready));
+    let told: Vec<_> = follows.entries.iter().map(|e| (e.destination.0, e.state)).collect();
+    assert_eq!(told, [(1, EntryState::Gone), (2, EntryState::Ready)]);
     assert_ne!(d.number_of("a"), Some(to[0]));
     assert_eq!(d.peer(to[0]).unwrap().drains, Some(s(2.0)));
     // At rest there is nothing to tell.
-    put(&mut d, s(3.0), one("b", 8, Listing::Ready));
-    assert!(put(&mut d, s(3.0), one("b", 9, Listing::Ready)).entries.is_empty());
+    put(&mut d, s(3.0), one("b", 8, EntryState::Ready));
+    assert!(put(&mut d, s(3.0), one("b", 9, EntryState::Ready)).entries.is_empty());
     assert_eq!((d.standing(s(3.0), 8), wake(&mut d, s(4.0), 9).0.len()), (Standing::Unknown, 1));
 }
 
 #[test]
 fn a_wait_outlives_its_rest_and_its_endpoint_a_changed_address_and_a_name_that_was_away() {
     let mut d = Directory::new(rules(Some(s(1.0))));
-    put(&mut d, s(0.0), one("a", 1, Listing::Ready));
+    put(&mut d, s(0.0), one("a", 1, EntryState::Ready));
     let (to, _, _) = wake(&mut d, s(0.0), 1);
     assert_eq!(d.tired(s(1.0)), Some(1));
-    let waits = Repute { wait_until: s(100.0), sick: true, served: 9.0 };
+    let waits = RetainedHealth { wait_until: s(100.0), unhealthy: true, served_per_s: 9.0 };
     d.rested(s(1.0), 1, waits, &[(to[0], waits)], &mut Follows::default());
     assert_eq!(d.memories().len(), 2);
-    put(&mut d, s(2.0), one("a", 1, Listing::Gone));
-    put(&mut d, s(3.0), Endpoint { address: at(8), ..one("a", 1, Listing::Ready) });
-    put(&mut d, s(3.0), one("b", 1, Listing::Ready));
+    put(&mut d, s(2.0), one("a", 1, EntryState::Gone));
+    put(&mut d, s(3.0), Endpoint { address: at(8), ..one("a", 1, EntryState::Ready) });
+    put(&mut d, s(3.0), one("b", 1, EntryState::Ready));
     let mut follows = Follows::default();
     let woken = d.touch(s(50.0), 1, &mut follows).unwrap();
-    let still = Repute { served: 0.0, ..waits };
+    let still = RetainedHealth { served_per_s: 0.0, ..waits };
     assert_eq!(woken.whole, still, "of the destination, whoever serves it now");
     let each: Vec<_> =
         woken.each.iter().map(|(e, r)| (d.peer(e.receiver).unwrap().name.clone(), *r)).collect();
     assert!(
-        each.contains(&("a".into(), still)) && each.contains(&("b".into(), Repute::default())),
+        each.contains(&("a".into(), still)) && each.contains(&("b".into(), RetainedHealth::default())),
         "{each:?}"
     );
     assert!(d.memories().iter().all(|(w, _)| !matches!(w, Whose::Destination(_))), "taken with it");
@@ -241,7 +241,7 @@
     assert!((1..=100).all(|i| d.standing(s(1.0), i) == Standing::Here));
     let mut rests = 0;
     while let Some(destination) = d.tired(s(100.0)) {
-        d.rested(s(100.0), destination, Repute::default(), &[], &mut Follows::default());
+        d.rested(s(100.0), destination, RetainedHealth::default(), &[], &mut Follows::default());
         rests += 1;
     }
     assert_eq!((rests, d.awake()), (100, 0), "each is let go in the end");
@@ -251,16 +251,16 @@
 #[test]
 fn a_route_that_comes_back_to_a_destination_in_use_brings_its_wait() {
     let mut d = Directory::new(rules(Some(s(1.0))));
-    put(&mut d, s(0.0), one("a", 1, Listing::Ready));
-    put(&mut d, s(0.0), one("b", 1, Listing::Ready));
+    put(&mut d, s(0.0), one("a", 1, EntryState::Ready));
+    put(&mut d, s(0.0), one("b", 1, EntryState::Ready));
     let (to, _, _) = wake(&mut d, s(0.0), 1);
-    let waits = Repute { wait_until: s(100.0), ..Repute::default() };
+    let waits = RetainedHealth { wait_until: s(100.0), ..RetainedHealth::default() };
     let a = d.number_of("a").unwrap();
-    d.rested(s(1.0), 1, Repute::default(), &[(a, waits)], &mut Follows::default());
-    put(&mut d, s(2.0), one("a", 1, Listing::Gone));
+    d.rested(s(1.0), 1, RetainedHealth::default(), &[(a, waits)], &mut Follows::default());
+    put(&mut d, s(2.0), one("a", 1, EntryState::Gone));
     let (again, _, _) = wake(&mut d, s(3.0), 1);
     assert_eq!((to.len(), again.len()), (2, 1));
-    let follows = put(&mut d, s(4.0), one("a", 1, Listing::Ready));
+    let follows = put(&mut d, s(4.0), one("a", 1, EntryState::Ready));
     assert_eq!(follows.recalled, [(d.number_of("a").unwrap(), waits)]);
 }
 
@@ -268,19 +268,19 @@
 #[test]
 fn a_wait_outlives_the_number_of_an_endpoint_that_is_gone_and_follows_its_name() {
     let mut d = Directory::new(rules(None));
-    put(&mut d, s(0.0), one("e", 1, Listing::Ready));
+    put(&mut d, s(0.0), one("e", 1, EntryState::Ready));
     let (to, _, _) = wake(&mut d, s(0.0), 1);
     d.told(to[0], s(300.0));
     d.told(to[0], s(200.0));
-    put(&mut d, s(1.0), one("e", 1, Listing::Gone));
+    put(&mut d, s(1.0), one("e", 1, EntryState::Gone));
     for t in [5.0, 90.0, 200.0] {
         d.tidy(s(t), &mut Follows::default());
     }
     assert_eq!(d.number_of("e"), Some(to[0]));
-    let back = put(&mut d, s(201.0), one("e", 1, Listing::Ready));
+    let back = put(&mut d, s(201.0), one("e", 1, EntryState::Ready));
     assert_eq!(back.entries[0].receiver, to[0], "the module still holds the wait under this number");
     d.told(to[0], s(300.0));
-    let moved = put(&mut d, s(202.0), one("e", 2, Listing::Ready));
+    let moved = put(&mut d, s(202.0), one("e", 2, EntryState::Ready));
     assert!(moved.recalled.is_empty(), "its new destination is at rest");
     let mut follows = Follows::default();
     let woken = d.touch(s(203.0), 2, &mut follows).expect("it was at rest");
