--- a/roster/tests/maintenance.rs
+++ b/roster/tests/maintenance.rs
@@ -1,6 +1,6 @@
 //! Endpoints that operators take out of use, through all that lists say of them meanwhile.
 
-use onyxrock::interface::{Entry, Listing, Micros};
+use onyxrock::interface::{EntryState, ListEntry, Micros};
 use onyxrock_roster::{Directory, Endpoint, Follows, Rules, Terms, UnknownEndpoint};
 use rstest::rstest;
 use std::net::SocketAddr;
@@ -13,13 +13,13 @@
     Directory::new(Rules { most: 100, rest, terms, zones: Default::default() })
 }
 
-fn endpoint(port: u16, listing: Listing) -> Endpoint<'static> {
+fn endpoint(port: u16, listing: EntryState) -> Endpoint<'static> {
     let address = SocketAddr::from(([127, 0, 0, 1], port));
     Endpoint { name: "e", address, zone: "z", kind: 0, destination: DESTINATION, weight: 1.0, listing }
 }
 
 /// What the module is told when the list says this.
-fn listed(d: &mut Directory, e: Endpoint<'_>) -> Vec<Entry> {
+fn listed(d: &mut Directory, e: Endpoint<'_>) -> Vec<ListEntry> {
     let mut follows = Follows::default();
     d.put(NOW, e, &mut follows).unwrap();
     d.taken();
@@ -32,8 +32,8 @@
     follows
 }
 
-fn listings(entries: &[Entry]) -> Vec<Listing> {
-    entries.iter().map(|e| e.listing).collect()
+fn listings(entries: &[ListEntry]) -> Vec<EntryState> {
+    entries.iter().map(|e| e.state).collect()
 }
 
 fn drains(d: &Directory) -> bool {
@@ -44,7 +44,7 @@
 /// A destination in use with one endpoint.
 fn in_use() -> Directory {
     let mut d = directory(None);
-    listed(&mut d, endpoint(1, Listing::Ready));
+    listed(&mut d, endpoint(1, EntryState::Ready));
     d.touch(NOW, DESTINATION, &mut Follows::default());
     d
 }
@@ -54,37 +54,37 @@
     let mut d = in_use();
     assert_eq!(d.known("nobody"), Err(UnknownEndpoint));
     assert_eq!(d.known("e"), Ok(()));
-    assert_eq!(listings(&set(&mut d, true).entries), [Listing::Draining]);
+    assert_eq!(listings(&set(&mut d, true).entries), [EntryState::Draining]);
     assert!(drains(&d));
     assert!(set(&mut d, true).entries.is_empty(), "called twice");
     let back = set(&mut d, false);
-    assert_eq!((listings(&back.entries), back.restarted.len()), (vec![Listing::Ready], 1));
+    assert_eq!((listings(&back.entries), back.restarted.len()), (vec![EntryState::Ready], 1));
     assert!(!drains(&d));
     assert!(set(&mut d, false).entries.is_empty());
 }
 
 #[rstest]
-#[case::it_is_ready_elsewhere(Listing::Ready)]
-#[case::it_drains(Listing::Draining)]
-fn a_list_does_not_put_it_back(#[case] listing: Listing) {
+#[case::it_is_ready_elsewhere(EntryState::Ready)]
+#[case::it_drains(EntryState::Draining)]
+fn a_list_does_not_put_it_back(#[case] listing: EntryState) {
     let mut d = in_use();
     set(&mut d, true);
-    assert_eq!(listings(&listed(&mut d, endpoint(2, listing))), [Listing::Draining]);
+    assert_eq!(listings(&listed(&mut d, endpoint(2, listing))), [EntryState::Draining]);
     assert!(drains(&d));
     let back = set(&mut d, false);
     assert_eq!(listings(&back.entries), [listing], "then the list holds");
-    assert_eq!(back.restarted.is_empty(), listing != Listing::Ready);
+    assert_eq!(back.restarted.is_empty(), listing != EntryState::Ready);
 }
 
 #[test]
 fn one_that_leaves_the_list_and_comes_back_is_still_out() {
     let mut d = in_use();
     set(&mut d, true);
-    assert_eq!(listings(&listed(&mut d, endpoint(1, Listing::Gone))), [Listing::Gone]);
+    assert_eq!(listings(&listed(&mut d, endpoint(1, EntryState::Gone))), [EntryState::Gone]);
     assert_eq!(d.known("e"), Ok(()), "it can be put back all the same");
-    assert_eq!(listings(&listed(&mut d, endpoint(1, Listing::Ready))), [Listing::Draining]);
+    assert_eq!(listings(&listed(&mut d, endpoint(1, EntryState::Ready))), [EntryState::Draining]);
     assert!(drains(&d));
-    assert_eq!(listings(&set(&mut d, false).entries), [Listing::Ready]);
+    assert_eq!(listings(&set(&mut d, false).entries), [EntryState::Ready]);
 }
 
 #[test]
@@ -92,20 +92,20 @@
     let mut d = directory(None);
     // As a start does that finds it in the file, before there is a list.
     assert!(set(&mut d, true).entries.is_empty());
-    listed(&mut d, endpoint(1, Listing::Ready));
+    listed(&mut d, endpoint(1, EntryState::Ready));
     let woken = d.touch(NOW, DESTINATION, &mut Follows::default()).expect("it was at rest");
-    assert_eq!(woken.each.iter().map(|(e, _)| e.listing).collect::<Vec<_>>(), [Listing::Draining]);
+    assert_eq!(woken.each.iter().map(|(e, _)| e.state).collect::<Vec<_>>(), [EntryState::Draining]);
     assert!(drains(&d));
 }
 
 #[test]
 fn a_gateway_can_be_taken_out_by_its_name() {
     let mut d = directory(None);
-    let (to, entry) = d.fix(NOW, &endpoint(1, Listing::Ready));
-    assert_eq!((entry.listing, d.known("e")), (Listing::Ready, Ok(())));
-    assert_eq!(listings(&set(&mut d, true).entries), [Listing::Draining]);
+    let (to, entry) = d.fix(NOW, &endpoint(1, EntryState::Ready));
+    assert_eq!((entry.state, d.known("e")), (EntryState::Ready, Ok(())));
+    assert_eq!(listings(&set(&mut d, true).entries), [EntryState::Draining]);
     assert!(d.peer(to).is_some_and(|peer| peer.drains.is_some()));
-    assert_eq!(listings(&set(&mut d, false).entries), [Listing::Ready]);
+    assert_eq!(listings(&set(&mut d, false).entries), [EntryState::Ready]);
 }
 
 #[test]
@@ -113,9 +113,12 @@
     let mut d = in_use();
     let mut follows = Follows::default();
     d.drains_elsewhere(NOW, "e", 7, &mut follows);
-    assert_eq!(listings(&follows.entries), [Listing::Draining]);
+    assert_eq!(listings(&follows.entries), [EntryState::Draining]);
     assert!(drains(&d));
-    assert!(listings(&listed(&mut d, endpoint(2, Listing::Ready))) == [Listing::Draining], "an older list");
+    assert!(
+        listings(&listed(&mut d, endpoint(2, EntryState::Ready))) == [EntryState::Draining],
+        "an older list"
+    );
     for (generation, after) in [(Some(6), true), (Some(7), false)] {
         d.list_is_as_late_as(NOW, generation, &mut Follows::default());
         assert_eq!(drains(&d), after, "{generation:?}");
--- a/roster/tests/model.rs
+++ b/roster/tests/model.rs
@@ -1,6 +1,6 @@
 //! The table against a plain map, through any order of lists, changes, removals and slices of a sweep.
 
-use onyxrock::interface::Listing;
+use onyxrock::interface::EntryState;
 use onyxrock_roster::{Change, Endpoint, Refused, Roster};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,7 +13,7 @@
     kind: u16,
     destination: u64,
     weight: f32,
-    listing: Listing,
+    listing: EntryState,
 }
 
 fn endpoint<'a>(name: &'a str, p: &'a Plain) -> Endpoint<'a> {
@@ -33,8 +33,7 @@
         (0..4u8, 1..4u16).prop_map(|(ip, port)| SocketAddr::from(([10, 0, 0, ip], port))),
         (0..3u16, 1..4u16).prop_map(|(ip, port)| SocketAddr::from(([0xfd00, 0, 0, 0, 0, 0, 0, ip], port))),
     ];
-    let listing =
-        prop_oneof![6 => Just(Listing::Ready), 2 => Just(Listing::Draining), 1 => Just(Listing::Gone)];
+    let listing = prop_oneof![6 => Just(EntryState::Ready), 2 => Just(EntryState::Draining), 1 => Just(EntryState::Gone)];
     (address, 0..3u8, 0..2u16, 0..5u64, 0..3u8, listing).prop_map(
         |(address, zone, kind, destination, w, listing)| Plain {
             address,
@@ -80,15 +79,15 @@
         let got = self.roster.put(endpoint(&name, p));
         let before = self.map.get(&name).cloned();
         let want = match &before {
-            None if p.listing == Listing::Gone => Ok(None),
+            None if p.listing == EntryState::Gone => Ok(None),
             None if self.map.len() >= MOST => Err(Refused::Full),
             Some(b) if b == p => Ok(None),
-            Some(b) if b.listing == Listing::Gone && p.listing == Listing::Gone => Ok(None),
-            Some(_) if p.listing == Listing::Gone => Ok(Some('g')),
+            Some(b) if b.listing == EntryState::Gone && p.listing == EntryState::Gone => Ok(None),
+            Some(_) if p.listing == EntryState::Gone => Ok(Some('g')),
             Some(_) => Ok(Some('c')),
             None => Ok(Some('a')),
         };
-        if want.is_ok() && (before.is_some() || p.listing != Listing::Gone) {
+        if want.is_ok() && (before.is_some() || p.listing != EntryState::Gone) {
             self.map.insert(name, p.clone());
         }
         let kind = |c: Change| match c {
@@ -143,8 +142,8 @@
                     let named: BTreeSet<_> = list.iter().map(|(n, _)| name(*n)).collect();
                     let mut want = 0;
                     for (_, p) in both.map.iter_mut().filter(|(n, _)| !named.contains(*n)) {
-                        want += usize::from(p.listing != Listing::Gone);
-                        p.listing = Listing::Gone;
+                        want += usize::from(p.listing != EntryState::Gone);
+                        p.listing = EntryState::Gone;
                     }
                     assert_eq!(gone.len(), want);
                 }
@@ -161,7 +160,7 @@
     let put = |roster: &mut Roster, i: u32| {
         let (name, address) = (format!("club-endpoint-{i:08}"), SocketAddr::from((i.to_be_bytes(), 7070)));
         let destination = u64::from(i);
-        let listing = Listing::Ready;
+        let listing = EntryState::Ready;
         let e =
             Endpoint { name: &name, address, zone: "floor-2", kind: 1, destination, weight: 2.0, listing };
         roster.put(e).unwrap();
--- a/sharing/src/probing.rs
+++ b/sharing/src/probing.rs
@@ -229,20 +229,20 @@
         let look = now >= self.look_at;
         if look {
             let terms = self.book.terms();
-            self.look_at = now.after(terms.renew());
+            self.look_at = now.plus(terms.renew());
             let probe = |d: DestinationId| Duty { kind: Kind::Probe, of: d.0 };
-            let doubted: Vec<_> = ledger.in_question().map(probe).collect();
+            let doubted: Vec<_> = ledger.unconfirmed_destinations().map(probe).collect();
             for duty in self.book.wanted(now).into_iter().filter(|d| d.kind == Kind::Probe) {
                 if doubted.binary_search(&duty).is_err() {
                     self.book.unwant(now, duty);
                 }
             }
-            doubted.into_iter().for_each(|d| self.book.want(d, now.after(terms.lease)));
+            doubted.into_iter().for_each(|d| self.book.want(d, now.plus(terms.lease)));
             if self.list.is_some() {
-                self.book.want(LIST, now.after(terms.lease));
+                self.book.want(LIST, now.plus(terms.lease));
             }
             if self.leads {
-                self.book.want(LEAD, now.after(terms.lease));
+                self.book.want(LEAD, now.plus(terms.lease));
             }
         }
         self.settle_list(now, look);
@@ -257,7 +257,7 @@
             if let Some(p) = self.probes.remove(&n) {
                 tracing::debug!(of = p.duty.of, "duties: the module did not let a probe go in time");
             }
-            ledger.call_off(now, n);
+            ledger.cancel_probe(now, n);
         }
         for duty in self.book.ready(now).into_iter().filter(|d| d.kind == Kind::Probe) {
             if self.probes.values().any(|p| p.duty == duty) {
@@ -265,8 +265,8 @@
             }
             let patience = self.book.terms().patience;
             let left = Micros(patience.0 * 2);
-            let n = ledger.probe(now, self.class, DestinationId(duty.of), left);
-            self.probes.insert(n, Probe { duty, by: now.after(patience), begun: false });
+            let n = ledger.submit_probe(now, self.class, DestinationId(duty.of), left);
+            self.probes.insert(n, Probe { duty, by: now.plus(patience), begun: false });
         }
         let by = self.probes.values().filter(|p| !p.begun).map(|p| p.by);
         let timed = [self.book.due(), self.book.next_ready(now)].into_iter().flatten();
@@ -342,7 +342,7 @@
 mod tests {
     use super::*;
     use async_channel::{Receiver, bounded};
-    use onyxrock::core::{Names, probes};
+    use onyxrock::core::{NameIndex, add_probe_class};
     use onyxrock::interface::Settings;
     use onyxrock_config::duties::Probe as Pace;
     use onyxrock_membership::{Key, Keys};
@@ -375,8 +375,8 @@
             keys: Keys::new(1, [Key { id: 1, secret: [1; 32] }]).unwrap(),
         };
         let mut settings = Settings { slots: 4, max_held: 9, max_attempts: 3, ..Settings::default() };
-        let class = probes(&mut settings, Micros(500_000), Micros(0));
-        let ledger = Ledger::new(settings, Names::default(), Default::default(), 1);
+        let class = add_probe_class(&mut settings, Micros(500_000), Micros(0));
+        let ledger = Ledger::new(settings, NameIndex::default(), Default::default(), 1);
         let ((to_peers, out), (to_list, list)) = (bounded(64), bounded(64));
         let now = Micros(1_000_000);
         let (memory, keep) = (Memory::Kept(kept), Box::new(|_| true));
@@ -388,7 +388,7 @@
         /// The news of the list that went to the others, and what the list was told.
         fn run(&mut self, ms: u64) -> (Vec<u64>, Vec<ToList>) {
             for _ in 0..ms / 50 {
-                self.now = self.now.after(Micros(50_000));
+                self.now = self.now.plus(Micros(50_000));
                 self.probing.settle(self.now, &mut self.ledger);
             }
             let news = |m| match m {
--- a/src/core/classes.rs
+++ b/src/core/classes.rs
@@ -1,7 +1,7 @@
 //! Classes of messages by name, which may change while an instance runs. A message keeps the class that it was taken on
 //! under: a class that changes is another one from then on, and one that is dropped stays for the messages that have it.
 
-use super::record::{ClassThen, Taken};
+use super::record::{AcceptedMessage, RecordedClass};
 use crate::interface::{ClassId, ClassSettings, DestinationId, Effect, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -70,13 +70,13 @@
     }
 
     /// The class by this name, as it is now.
-    pub fn now(&self, name: &str) -> Option<ClassThen> {
-        self.names.get(name).map(|number| ClassThen::from(&self.all[*number]))
+    pub fn now(&self, name: &str) -> Option<RecordedClass> {
+        self.names.get(name).map(|number| RecordedClass::from(&self.all[*number]))
     }
 
     /// That of a message: as it was when that was taken on, or what its name stands for now where the log does not say.
-    pub fn of(&mut self, taken: &Taken) -> Option<ClassId> {
-        let number = match taken.class_then {
+    pub fn of(&mut self, taken: &AcceptedMessage) -> Option<ClassId> {
+        let number = match taken.recorded_class {
             Some(then) => self.version(&taken.class, &ClassSettings::from(then)),
             None => *self.names.get(&taken.class)?,
         };
@@ -87,12 +87,12 @@
 
     /// The time that a message of this name has, if it is taken on now.
     pub fn give_up(&self, name: &str) -> Option<Micros> {
-        self.names.get(name).map(|number| self.all[*number].give_up)
+        self.names.get(name).map(|number| self.all[*number].give_up_after)
     }
 
     /// The longest time that any message may have.
     pub fn longest(&self) -> Micros {
-        self.all.iter().map(|class| class.give_up).max().unwrap_or_default()
+        self.all.iter().map(|class| class.give_up_after).max().unwrap_or_default()
     }
 
     /// What a repeat does; the strictest, where nothing says it.
--- a/src/core/ledger.rs
+++ b/src/core/ledger.rs
@@ -1,10 +1,10 @@
 //! The ledger: requests that are outstanding, and the policy engine that decides on them.
 
 use super::classes::Classes;
-use super::record::{CallEnd, ClassThen, End, Record, Taken};
-use super::recovery::Owed;
-use super::step::{Answered, AttemptRefused, Found, Step};
-use super::{Ids, Names};
+use super::record::{AcceptedMessage, AttemptStatus, FinalStatus, Record, RecordedClass};
+use super::recovery::OpenMessage;
+use super::step::{AttemptDenied, AttemptOutcome, LedgerAction, RecoveryStats};
+use super::{Ids, NameIndex};
 use crate::PolicyEngine;
 use crate::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,16 +12,16 @@
 /// Adds the class of probes to the settings, which no client can name. One is worth more than any message: nothing is
 /// lost with it, so it is the better trial of what may be out of order. A probe that has not gone after `left` ends. Where
 /// one sender probes for all, messages hold back for a while from what it is trying.
-pub fn probes(settings: &mut Settings, left: Micros, hold_back: Micros) -> ClassId {
+pub fn add_probe_class(settings: &mut Settings, left: Micros, hold_back: Micros) -> ClassId {
     let class = ClassId(settings.classes.len());
     settings.classes.push(ClassSettings {
-        aim: left,
-        give_up: left,
+        target_latency: left,
+        give_up_after: left,
         effect: Effect::Safe,
-        worth: 1e6,
+        value: 1e6,
         ..ClassSettings::default()
     });
-    (settings.probe_class, settings.hold_back) = (Some(class), hold_back);
+    (settings.probe_class, settings.message_probe_delay) = (Some(class), hold_back);
     class
 }
 
@@ -35,11 +35,11 @@
 #[derive(Debug)]
 pub struct Ledger {
     policy: PolicyEngine,
-    names: Names,
+    names: NameIndex,
     classes: Classes,
     /// The class that each request was taken on under.
     class_of: BTreeMap<u64, ClassId>,
-    owed: BTreeMap<u64, Owed>,
+    owed: BTreeMap<u64, OpenMessage>,
     /// Attempts that each request had, as the module counts them.
     attempts: BTreeMap<u64, u32>,
     next: u64,
@@ -52,7 +52,7 @@
     given: usize,
     /// Messages of an earlier process that have had no call yet, and what became of all of them.
     untried: BTreeSet<u64>,
-    found: Found,
+    found: RecoveryStats,
     wakes: BTreeSet<Micros>,
     receipts: Vec<u64>,
     /// Probes that the module has: the destination.
@@ -64,14 +64,16 @@
     /// A ledger with nothing in it.
     ///
     /// The `plain` destinations drop no repeat of a keyed message: there it is treated as an unsafe one.
-    pub fn new(mut settings: Settings, names: Names, plain: BTreeSet<DestinationId>, seed: u64) -> Ledger {
+    pub fn new(
+        mut settings: Settings, names: NameIndex, plain: BTreeSet<DestinationId>, seed: u64,
+    ) -> Ledger {
         let classes = Classes::new(settings.classes, names.classes.clone(), plain);
         settings.classes = classes.all().to_vec();
         Ledger {
             most: settings.max_held as usize,
-            cancel: settings.cancel,
+            cancel: settings.allow_cancel,
             most_out: if settings.second_copies { 2 } else { 1 },
-            ids: Ids::new(classes.longest().after(ID_REST)),
+            ids: Ids::new(classes.longest().plus(ID_REST)),
             classes,
             class_of: BTreeMap::new(),
             policy: PolicyEngine::new(settings, seed),
@@ -81,7 +83,7 @@
             next: 1,
             given: 0,
             untried: BTreeSet::new(),
-            found: Found::default(),
+            found: RecoveryStats::default(),
             wakes: BTreeSet::new(),
             receipts: Vec::new(),
             probes: BTreeMap::new(),
@@ -90,179 +92,189 @@
     }
 
     /// Destinations that the module doubts.
-    pub fn in_question(&self) -> impl Iterator<Item = DestinationId> {
+    pub fn unconfirmed_destinations(&self) -> impl Iterator<Item = DestinationId> {
         self.policy.in_question()
     }
 
     /// An endpoint of a destination in use is back in the list; see [`PolicyEngine::recall`].
-    pub fn recall(&mut self, now: Micros, to: ReceiverId, repute: Repute) {
+    pub fn restore_receiver(&mut self, now: Micros, to: ReceiverId, repute: RetainedHealth) {
         self.policy.recall(now, to, repute);
     }
 
     /// An endpoint was restarted; see [`PolicyEngine::restarted`].
-    pub fn restarted(&mut self, now: Micros, to: ReceiverId) {
+    pub fn on_receiver_restart(&mut self, now: Micros, to: ReceiverId) {
         self.policy.restarted(now, to);
     }
 
     /// Has the module make one call to a destination, with nothing in it: it keeps every rule that a request's call
     /// keeps, and goes after them all. Nobody is owed its end, and no log has it. Its number.
-    pub fn probe(&mut self, now: Micros, class: ClassId, destination: DestinationId, left: Micros) -> u64 {
-        let n = self.number();
+    pub fn submit_probe(
+        &mut self, now: Micros, class: ClassId, destination: DestinationId, left: Micros,
+    ) -> u64 {
+        let n = self.allocate_number();
         self.probes.insert(n, destination);
-        let m = Message { id: MessageId(n), class, tenant: None, key: None, destination, left };
+        let m = Message {
+            id: MessageId(n),
+            class,
+            tenant: None,
+            ordering_key: None,
+            destination,
+            time_left: left,
+        };
         self.policy.on_event(now, Event::Submit(m), &mut self.actions);
         n
     }
 
     /// The probe by this number has not ended.
-    pub fn probing(&self, n: u64) -> bool {
+    pub fn probe_is_open(&self, n: u64) -> bool {
         self.probes.contains_key(&n)
     }
 
     /// A probe is not wanted any more; its call, if one is out, runs on.
-    pub fn call_off(&mut self, now: Micros, n: u64) {
+    pub fn cancel_probe(&mut self, now: Micros, n: u64) {
         if self.probes.remove(&n).is_some() {
             self.policy.on_event(now, Event::Withdrawn(MessageId(n)), &mut self.actions);
         }
     }
 
     /// An endpoint told that nothing may go there before a time.
-    pub fn wait(&mut self, now: Micros, to: ReceiverId, until: Micros) {
-        self.policy.on_event(now, Event::Wait(to, until.since(now)), &mut self.actions);
+    pub fn on_retry_after(&mut self, now: Micros, to: ReceiverId, until: Micros) {
+        self.policy.on_event(now, Event::RetryAfter(to, until.since(now)), &mut self.actions);
     }
 
     /// An attempt is about to leave; see [`PolicyEngine::leave`].
-    pub fn leave(&self, now: Micros, n: u64, attempt: u32, to: ReceiverId) -> Leave {
+    pub fn recheck_send(&self, now: Micros, n: u64, attempt: u32, to: ReceiverId) -> SendRecheck {
         self.policy.leave(now, MessageId(n), attempt, to)
     }
 
     /// What another sender was asked to tell of an endpoint that has this number here.
-    pub fn note(&mut self, now: Micros, receiver: ReceiverId, news: &[u8]) {
+    pub fn on_peer_hint(&mut self, now: Micros, receiver: ReceiverId, news: &[u8]) {
         let id = &receiver.0.to_le_bytes()[..4];
-        self.policy.on_event(now, Event::Note([id, news].concat()), &mut self.actions);
+        self.policy.on_event(now, Event::PeerHint([id, news].concat()), &mut self.actions);
     }
 
     /// Requests that the module has not ended.
-    pub fn held(&self) -> usize {
+    pub fn held_count(&self) -> usize {
         self.owed.len() - self.given
     }
     /// No further request may be taken on.
-    pub fn full(&self) -> bool {
-        self.held() >= self.most
+    pub fn is_full(&self) -> bool {
+        self.held_count() >= self.most
     }
     /// An attempt may be called off.
-    pub fn calls_off(&self) -> bool {
+    pub fn can_cancel_attempts(&self) -> bool {
         self.cancel
     }
     /// What became of the messages that a start found untried.
-    pub fn found(&self) -> Found {
+    pub fn recovery_stats(&self) -> RecoveryStats {
         self.found
     }
     /// Attempts that are out.
-    pub fn out(&self) -> usize {
-        self.owed.values().map(|o| o.out.len()).sum()
+    pub fn attempts_in_flight(&self) -> usize {
+        self.owed.values().map(|o| o.in_flight.len()).sum()
     }
     /// What is owed, for a new log.
-    pub fn owed(&self) -> impl Iterator<Item = &Owed> {
+    pub fn open_messages(&self) -> impl Iterator<Item = &OpenMessage> {
         self.owed.values()
     }
     /// One of them.
-    pub fn get(&self, n: u64) -> Option<&Owed> {
+    pub fn get(&self, n: u64) -> Option<&OpenMessage> {
         self.owed.get(&n)
     }
     /// The class and tenant by these names; an empty tenant is none.
-    pub fn known(&self, class: &str, tenant: &str) -> bool {
+    pub fn knows_class_and_tenant(&self, class: &str, tenant: &str) -> bool {
         self.classes.is_named(class)
             && (tenant.is_empty() || self.names.tenants.is_empty() || self.names.tenants.contains_key(tenant))
     }
     /// The number of a zone; one that no settings name has none that anything else has.
-    pub fn zone(&self, name: &str) -> ZoneId {
+    pub fn zone_id(&self, name: &str) -> ZoneId {
         ZoneId(self.names.zones.get(name).copied().unwrap_or(usize::MAX))
     }
     /// Takes note of the id of a hand-in. False if it came before and could still run, whoever sends it: a second
     /// request with it would be a second copy at an endpoint.
-    pub fn fresh(&mut self, now: Micros, id: &str) -> bool {
+    pub fn remember_request_id(&mut self, now: Micros, id: &str) -> bool {
         self.ids.fresh(now, id)
     }
     /// When a request of this class is given up at the latest.
-    pub fn latest(&self, now: Micros, class: &str) -> Micros {
-        now.after(self.classes.give_up(class).unwrap_or(Micros(u64::MAX)))
+    pub fn latest_deadline(&self, now: Micros, class: &str) -> Micros {
+        now.plus(self.classes.give_up(class).unwrap_or(Micros(u64::MAX)))
     }
     /// This request is lost once it may have run: it must not be repeated.
-    pub fn harmful(&self, n: u64) -> bool {
+    pub fn unsafe_to_repeat(&self, n: u64) -> bool {
         self.effect(n) == Effect::Unsafe
     }
     /// The settings have changed. What is held keeps the class and the attempts that it was taken on under.
-    pub fn reconfigure(&mut self, settings: &Settings, names: &Names) {
+    pub fn reconfigure(&mut self, settings: &Settings, names: &NameIndex) {
         self.classes.replace(&settings.classes, &names.classes);
-        self.ids.keep_for(self.classes.longest().after(ID_REST));
+        self.ids.keep_for(self.classes.longest().plus(ID_REST));
         self.most = settings.max_held as usize;
         self.policy.set_classes(self.classes.all());
         self.policy.set_bounds(settings.max_attempts, settings.max_held);
     }
     /// A number for the next request.
-    pub fn number(&mut self) -> u64 {
+    pub fn allocate_number(&mut self) -> u64 {
         self.next += 1;
         self.next - 1
     }
 
     /// The class by this name as it is now, for the record of a hand-in.
-    pub fn class_now(&self, name: &str) -> Option<ClassThen> {
+    pub fn current_class(&self, name: &str) -> Option<RecordedClass> {
         self.classes.now(name)
     }
 
-    fn message(&mut self, now: Micros, t: &Taken) -> Option<Message> {
+    fn message(&mut self, now: Micros, t: &AcceptedMessage) -> Option<Message> {
         let known = self.classes.all().len();
         let class = self.classes.of(t)?;
         if self.classes.all().len() > known {
             self.policy.set_classes(self.classes.all());
         }
         Some(Message {
-            id: MessageId(t.n),
+            id: MessageId(t.number),
             class,
             tenant: self.names.tenants.get(&t.tenant).map(|i| TenantId(*i)),
-            key: None,
+            ordering_key: None,
             destination: DestinationId(t.destination),
-            left: t.deadline.since(now),
+            time_left: t.deadline.since(now),
         })
     }
 
     /// Takes a request on. The caller has its record in the log.
-    pub fn take(&mut self, now: Micros, taken: Taken) {
+    pub fn accept(&mut self, now: Micros, taken: AcceptedMessage) {
         let Some(m) = self.message(now, &taken) else { return };
-        self.next = self.next.max(taken.n + 1);
-        self.class_of.insert(taken.n, m.class);
-        self.owed.insert(taken.n, Owed { taken, ..Owed::default() });
+        self.next = self.next.max(taken.number + 1);
+        self.class_of.insert(taken.number, m.class);
+        self.owed.insert(taken.number, OpenMessage { accepted: taken, ..OpenMessage::default() });
         self.policy.on_event(now, Event::Submit(m), &mut self.actions);
     }
 
     /// The times in the log are those of a wall clock, which may have been set back since: nothing has longer than its class
     /// gives from now on, and an attempt of the future was made at no known time, so that no window is open for it.
-    fn bounded(&self, now: Micros, mut owed: Owed) -> Owed {
-        let then = owed.taken.class_then.map(|class| now.after(ClassSettings::from(class).give_up));
-        let latest = then.unwrap_or_else(|| self.latest(now, &owed.taken.class));
-        owed.taken.deadline = owed.taken.deadline.min(latest);
-        if let Some((at, _)) = owed.maybe_ran.as_mut().filter(|(at, _)| *at > now) {
+    fn bounded(&self, now: Micros, mut owed: OpenMessage) -> OpenMessage {
+        let then =
+            owed.accepted.recorded_class.map(|class| now.plus(ClassSettings::from(class).give_up_after));
+        let latest = then.unwrap_or_else(|| self.latest_deadline(now, &owed.accepted.class));
+        owed.accepted.deadline = owed.accepted.deadline.min(latest);
+        if let Some((at, _)) = owed.first_possible_run.as_mut().filter(|(at, _)| *at > now) {
             *at = Micros(0);
         }
         owed
     }
 
     /// Takes over what an earlier process owed. True if its end was decided there and only needs telling.
-    pub fn resume(&mut self, now: Micros, owed: Owed) -> bool {
-        let n = owed.taken.n;
+    pub fn resume(&mut self, now: Micros, owed: OpenMessage) -> bool {
+        let n = owed.accepted.number;
         self.next = self.next.max(n + 1);
         let owed = self.bounded(now, owed);
-        let message = self.message(now, &owed.taken);
+        let message = self.message(now, &owed.accepted);
         self.class_of.extend(message.as_ref().map(|m| (n, m.class)));
-        self.ids.fresh(now, &owed.taken.id);
-        let maybe_ran = owed.maybe_ran.as_ref().map(|(at, z)| (*at, self.zone(z)));
-        let past = Past { attempts: owed.attempts, maybe_ran };
-        let given = owed.given.is_some();
+        self.ids.fresh(now, &owed.accepted.request_id);
+        let maybe_ran = owed.first_possible_run.as_ref().map(|(at, z)| (*at, self.zone_id(z)));
+        let past = AttemptHistory { attempts: owed.attempts, first_possible_run: maybe_ran };
+        let given = owed.final_status.is_some();
         if !given && owed.attempts == 0 {
             self.found.untried += 1;
-            if owed.taken.deadline <= now.after(TIME_UP) {
-                self.found.over += 1;
+            if owed.accepted.deadline <= now.plus(TIME_UP) {
+                self.found.expired_at_start += 1;
             } else {
                 self.untried.insert(n);
             }
@@ -280,19 +292,22 @@
     }
 
     /// The list, or word that it could not be had.
-    pub fn list(&mut self, now: Micros, event: Event) {
+    pub fn on_list_event(&mut self, now: Micros, event: Event) {
         self.policy.on_event(now, event, &mut self.actions);
     }
 
     /// Has the module forget a destination for which nothing is held or out: what it was like, and what its endpoints
     /// were like. None if it cannot rest now.
-    pub fn rest(&mut self, now: Micros, destination: u64) -> Option<(Repute, Vec<(ReceiverId, Repute)>)> {
+    pub fn deactivate(
+        &mut self, now: Micros, destination: u64,
+    ) -> Option<(RetainedHealth, Vec<(ReceiverId, RetainedHealth)>)> {
         self.policy.rest(now, DestinationId(destination))
     }
 
     /// Takes a destination in that has rested; see [`PolicyEngine::wake`].
-    pub fn wake(
-        &mut self, now: Micros, destination: u64, whole: Repute, each: Vec<(Entry, Repute)>, assumed: f64,
+    pub fn activate(
+        &mut self, now: Micros, destination: u64, whole: RetainedHealth,
+        each: Vec<(ListEntry, RetainedHealth)>, assumed: f64,
     ) {
         self.policy.wake(now, DestinationId(destination), whole, each, assumed);
     }
@@ -301,31 +316,33 @@
     ///
     /// # Errors
     /// It must not be made. What the module has decided is looked at again here, by what the log knows of the request.
-    pub fn attempt(
+    pub fn begin_attempt(
         &mut self, n: u64, attempt: u32, endpoint: &str, zone: &str, at: Micros,
-    ) -> Result<Record, AttemptRefused> {
-        let open = self.owed.get(&n).filter(|o| o.out.len() < self.most_out && o.given.is_none());
-        if !self.may_run(open.ok_or(AttemptRefused::Over)?, zone, at) {
-            return Err(AttemptRefused::Repeat);
+    ) -> Result<Record, AttemptDenied> {
+        let open =
+            self.owed.get(&n).filter(|o| o.in_flight.len() < self.most_out && o.final_status.is_none());
+        if !self.may_run(open.ok_or(AttemptDenied::NotOpen)?, zone, at) {
+            return Err(AttemptDenied::RepeatForbidden);
         }
-        let o = self.owed.get_mut(&n).ok_or(AttemptRefused::Over)?;
+        let o = self.owed.get_mut(&n).ok_or(AttemptDenied::NotOpen)?;
         let (endpoint, zone) = (endpoint.to_owned(), zone.to_owned());
-        let record = Record::Attempt { n, attempt, endpoint, zone, at };
+        let record = Record::Attempt { number: n, attempt, endpoint, zone, at };
         o.apply(&record);
-        self.found.tried += usize::from(self.untried.remove(&n));
+        self.found.attempted += usize::from(self.untried.remove(&n));
         Ok(record)
     }
 
     /// The effect, group and window of its class allow that a request runs at an endpoint of this zone.
-    fn may_run(&self, o: &Owed, zone: &str, at: Micros) -> bool {
-        let Some((sent, first_zone)) = o.out.values().chain(&o.maybe_ran).min_by_key(|a| a.0) else {
+    fn may_run(&self, o: &OpenMessage, zone: &str, at: Micros) -> bool {
+        let Some((sent, first_zone)) = o.in_flight.values().chain(&o.first_possible_run).min_by_key(|a| a.0)
+        else {
             return true;
         };
-        match self.effect(o.taken.n) {
+        match self.effect(o.accepted.number) {
             Effect::Safe => true,
             Effect::Unsafe => false,
-            Effect::Keyed { group, window } => {
-                at < sent.after(window) && (group == Group::All || zone == first_zone)
+            Effect::Keyed { scope: group, window } => {
+                at < sent.plus(window) && (group == DedupScope::Destination || zone == first_zone)
             }
         }
     }
@@ -336,82 +353,89 @@
     }
 
     /// Until when the rules let an attempt go that the module has decided on.
-    pub fn sends_end(&self, n: u64, attempt: u32) -> Option<Micros> {
+    pub fn send_deadline(&self, n: u64, attempt: u32) -> Option<Micros> {
         self.policy.sends_end(MessageId(n), attempt)
     }
 
     /// The attempt could not be put in the log, and was not made.
-    pub fn unsent(&mut self, n: u64, attempt: u32) {
+    pub fn undo_attempt(&mut self, n: u64, attempt: u32) {
         if let Some(o) = self.owed.get_mut(&n) {
             o.attempts = o.attempts.saturating_sub(1);
-            o.out.remove(&attempt);
+            o.in_flight.remove(&attempt);
         }
     }
 
     /// An attempt has ended. The record to keep, if any.
-    pub fn answered(&mut self, now: Micros, a: &Answered) -> Option<Record> {
+    pub fn end_attempt(&mut self, now: Micros, a: &AttemptOutcome) -> Option<Record> {
         // One call is all that a probe is.
-        let probe = self.probes.remove(&a.n).is_some();
-        self.wait(now, a.to, a.told);
+        let probe = self.probes.remove(&a.number).is_some();
+        self.on_retry_after(now, a.receiver, a.wait_until);
         let over = a.finished || a.verdict == Verdict::Delivered || probe;
         let outcome = Outcome {
-            id: MessageId(a.n),
+            id: MessageId(a.number),
             attempt: a.attempt,
-            receiver: a.to,
+            receiver: a.receiver,
             verdict: a.verdict,
             elapsed: a.elapsed,
             finished: over,
-            limit: a.limit.0,
-            left: a.limit.1,
+            limit_per_s: a.load_report.0,
+            remaining_share: a.load_report.1,
         };
         self.policy.on_event(now, Event::Outcome(outcome), &mut self.actions);
         if over {
-            if let Some(o) = self.owed.get_mut(&a.n).filter(|o| o.taken.receipt && o.given.is_none()) {
-                o.given = Some(End::Delivered);
-                o.out.clear();
+            if let Some(o) =
+                self.owed.get_mut(&a.number).filter(|o| o.accepted.wants_receipt && o.final_status.is_none())
+            {
+                o.final_status = Some(FinalStatus::Delivered);
+                o.in_flight.clear();
                 self.given += 1;
-                self.receipts.push(a.n);
-                return Some(Record::Given { n: a.n, end: End::Delivered });
+                self.receipts.push(a.number);
+                return Some(Record::FinalStatus { number: a.number, status: FinalStatus::Delivered });
             }
-            return self.over(a.n);
+            return self.close(a.number);
         }
-        let o = self.owed.get_mut(&a.n).filter(|o| o.out.contains_key(&a.attempt))?;
-        let record = Record::Outcome { n: a.n, attempt: a.attempt, end: CallEnd::from(a.verdict) };
+        let o = self.owed.get_mut(&a.number).filter(|o| o.in_flight.contains_key(&a.attempt))?;
+        let record =
+            Record::Outcome { number: a.number, attempt: a.attempt, status: AttemptStatus::from(a.verdict) };
         o.apply(&record);
         Some(record)
     }
 
     /// Nothing more is owed. The record to keep.
-    pub fn over(&mut self, n: u64) -> Option<Record> {
+    pub fn close(&mut self, n: u64) -> Option<Record> {
         let o = self.owed.remove(&n)?;
-        self.given -= usize::from(o.given.is_some());
+        self.given -= usize::from(o.final_status.is_some());
         self.untried.remove(&n);
         self.attempts.remove(&n);
         self.class_of.remove(&n);
-        Some(Record::Over(n))
+        Some(Record::Closed(n))
     }
 
     /// Its client never heard that it was taken on.
     pub fn withdraw(&mut self, now: Micros, n: u64) -> Option<Record> {
         self.policy.on_event(now, Event::Withdrawn(MessageId(n)), &mut self.actions);
-        self.over(n)
+        self.close(n)
     }
 
     /// When [`Ledger::decide`] is due at the latest.
-    pub fn due(&self) -> Option<Micros> {
+    pub fn decide_due(&self) -> Option<Micros> {
         self.wakes.first().copied()
     }
 
     /// Decides, after all that happened at one moment. With `send` false nothing new goes out.
-    pub fn decide(&mut self, now: Micros, send: bool, steps: &mut Vec<Step>) {
+    pub fn decide(&mut self, now: Micros, send: bool, steps: &mut Vec<LedgerAction>) {
         while self.wakes.first().is_some_and(|t| *t <= now) {
             self.wakes.pop_first();
-            self.policy.on_event(now, Event::Wake, &mut self.actions);
+            self.policy.on_event(now, Event::TimerFired, &mut self.actions);
         }
         if send {
             self.policy.decide(now, &mut self.actions);
         }
-        steps.extend(self.receipts.drain(..).map(|n| Step::End { n, end: End::Delivered }));
+        steps.extend(
+            self.receipts
+                .drain(..)
+                .map(|n| LedgerAction::ReportFinalStatus { number: n, status: FinalStatus::Delivered }),
+        );
         for action in std::mem::take(&mut self.actions) {
             steps.extend(self.step(now, action));
         }
@@ -419,62 +443,65 @@
 
     /// When the time of a request is over that waits for nothing but that: it has no attempt out.
     pub fn expiry_due(&self) -> Option<Micros> {
-        self.waiting().map(|o| o.taken.deadline).min()
+        self.waiting().map(|o| o.accepted.deadline).min()
     }
 
     /// Ends the requests whose time is over, where nothing more is decided: a process that ends sends nothing new, and owes
     /// its ends in time all the same.
-    pub fn expire(&mut self, now: Micros, steps: &mut Vec<Step>) {
-        let over: Vec<_> = self.waiting().filter(|o| o.taken.deadline <= now).map(|o| o.taken.n).collect();
+    pub fn expire(&mut self, now: Micros, steps: &mut Vec<LedgerAction>) {
+        let over: Vec<_> =
+            self.waiting().filter(|o| o.accepted.deadline <= now).map(|o| o.accepted.number).collect();
         for n in over {
-            let may_have_run = self.owed.get(&n).is_some_and(|o| o.maybe_ran.is_some());
-            let end = if may_have_run { End::Failed } else { End::Returned(None) };
+            let may_have_run = self.owed.get(&n).is_some_and(|o| o.first_possible_run.is_some());
+            let end = if may_have_run { FinalStatus::Failed } else { FinalStatus::Returned(None) };
             steps.extend(self.end(now, n, end));
         }
     }
 
-    fn waiting(&self) -> impl Iterator<Item = &Owed> {
-        self.owed.values().filter(|o| o.given.is_none() && o.out.is_empty())
+    fn waiting(&self) -> impl Iterator<Item = &OpenMessage> {
+        self.owed.values().filter(|o| o.final_status.is_none() && o.in_flight.is_empty())
     }
 
-    fn step(&mut self, now: Micros, action: Action) -> Option<Step> {
+    fn step(&mut self, now: Micros, action: Action) -> Option<LedgerAction> {
         Some(match action {
-            Action::Send { id, receiver, patience } if self.probes.contains_key(&id.0) => {
-                Step::Probe { n: id.0, to: receiver, patience }
+            Action::Send { id, receiver, timeout: patience } if self.probes.contains_key(&id.0) => {
+                LedgerAction::Probe { number: id.0, receiver: receiver, timeout: patience }
             }
             Action::Refuse { id, .. } | Action::Fail(id) if self.probes.remove(&id.0).is_some() => {
                 return None;
             }
-            Action::Send { id, receiver, patience } => {
+            Action::Send { id, receiver, timeout: patience } => {
                 let made = self.attempts.entry(id.0).or_insert(0);
                 *made += 1;
-                Step::Call { n: id.0, attempt: *made - 1, to: receiver, patience }
+                LedgerAction::Call { number: id.0, attempt: *made - 1, receiver: receiver, timeout: patience }
             }
-            Action::Refuse { id, retry_after } => self.end(now, id.0, End::Returned(retry_after))?,
-            Action::Fail(id) => self.end(now, id.0, End::Failed)?,
-            Action::CallOff { id, attempt } => Step::CallOff { n: id.0, attempt },
-            Action::CloseIdle(to) => Step::CloseIdle(to),
-            Action::Follow => Step::Follow,
-            Action::WakeAfter(span) => {
-                self.wakes.insert(now.after(span));
+            Action::Refuse { id, retry_after } => self.end(now, id.0, FinalStatus::Returned(retry_after))?,
+            Action::Fail(id) => self.end(now, id.0, FinalStatus::Failed)?,
+            Action::CancelAttempt { id, attempt } => LedgerAction::CancelAttempt { number: id.0, attempt },
+            Action::CloseIdleConnections(to) => LedgerAction::CloseIdleConnections(to),
+            Action::RequestList => LedgerAction::RequestList,
+            Action::SetTimer(span) => {
+                self.wakes.insert(now.plus(span));
                 return None;
             }
-            Action::Sick { receiver, destination, verdict } => Step::Sick { receiver, destination, verdict },
-            Action::Tell(bytes) => {
+            Action::LogUnhealthy { receiver, destination, verdict } => {
+                LedgerAction::LogUnhealthy { receiver, destination, verdict }
+            }
+            Action::SendPeerHint(bytes) => {
                 let (id, news) = bytes.split_first_chunk::<4>()?;
-                Step::Tell(ReceiverId(u32::from_le_bytes(*id).into()), news.to_vec())
+                LedgerAction::SendPeerHint(ReceiverId(u32::from_le_bytes(*id).into()), news.to_vec())
             }
         })
     }
 
-    fn end(&mut self, now: Micros, n: u64, end: End) -> Option<Step> {
-        let o = self.owed.get_mut(&n).filter(|o| o.given.is_none())?;
-        o.given = Some(end);
+    fn end(&mut self, now: Micros, n: u64, end: FinalStatus) -> Option<LedgerAction> {
+        let o = self.owed.get_mut(&n).filter(|o| o.final_status.is_none())?;
+        o.final_status = Some(end);
         self.given += 1;
         if self.untried.remove(&n) {
-            let late = now.after(TIME_UP) >= o.taken.deadline;
-            *(if late { &mut self.found.late } else { &mut self.found.early }) += 1;
+            let late = now.plus(TIME_UP) >= o.accepted.deadline;
+            *(if late { &mut self.found.expired_unattempted } else { &mut self.found.ended_early }) += 1;
         }
-        Some(Step::End { n, end })
+        Some(LedgerAction::ReportFinalStatus { number: n, status: end })
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -9,16 +9,16 @@
 mod step;
 
 pub use ids::Ids;
-pub use ledger::{Ledger, probes};
-pub use record::{CallEnd, ClassThen, End, Record, Scan, Taken, frames};
-pub use recovery::{Owed, recover};
-pub use step::{Answered, AttemptRefused, Found, Step};
+pub use ledger::{Ledger, add_probe_class};
+pub use record::{AcceptedMessage, AttemptStatus, FinalStatus, LogScan, Record, RecordedClass, scan_log};
+pub use recovery::{OpenMessage, recover};
+pub use step::{AttemptDenied, AttemptOutcome, LedgerAction, RecoveryStats};
 
 use std::collections::BTreeMap;
 
 /// Names that the wires use and the module knows by place.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct NameIndex {
     /// Of classes.
     pub classes: BTreeMap<String, usize>,
     /// Of tenants.
--- a/src/core/record.rs
+++ b/src/core/record.rs
@@ -1,6 +1,6 @@
 //! Log records, as bytes: a frame is a mark, a length, a checksum and a payload.
 
-use crate::interface::{ClassSettings, Effect, Group, Micros, Verdict};
+use crate::interface::{ClassSettings, DedupScope, Effect, Micros, Verdict};
 
 const MARK: [u8; 2] = [0xa7, 0x1e];
 const HEAD: usize = 10;
@@ -9,27 +9,27 @@
 
 /// A request as it was taken on. Times are wall-clock, so that they hold over a restart.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Taken {
+pub struct AcceptedMessage {
     /// The number it has in the log.
-    pub n: u64,
+    pub number: u64,
     /// Which front took it, as the caller numbers its fronts.
-    pub front: u8,
+    pub frontend: u8,
     /// The id by which its client knows it.
-    pub id: String,
+    pub request_id: String,
     /// Name of its class.
     pub class: String,
     /// That class as it was then: its name may stand for another one later. None in logs of before this was kept.
-    pub class_then: Option<ClassThen>,
+    pub recorded_class: Option<RecordedClass>,
     /// Name of its tenant; empty if it has none.
     pub tenant: String,
     /// Number of its destination.
     pub destination: u64,
     /// Its idempotency key; empty if it has none.
-    pub key: String,
+    pub idempotency_key: String,
     /// What its front needs to end it.
-    pub note: String,
+    pub frontend_note: String,
     /// Its client is told of a delivery too.
-    pub receipt: bool,
+    pub wants_receipt: bool,
     /// When its time is up.
     pub deadline: Micros,
     /// What is delivered.
@@ -38,7 +38,7 @@
 
 /// The settings of a class at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ClassThen {
+pub struct RecordedClass {
     aim: Micros,
     give_up: Micros,
     effect: Effect,
@@ -48,50 +48,57 @@
     late_share: u64,
 }
 
-impl From<&ClassSettings> for ClassThen {
-    fn from(class: &ClassSettings) -> ClassThen {
-        let ClassSettings { aim, give_up, effect, in_order, .. } = *class;
-        let (worth, late_share) = (class.worth.to_bits(), class.late_share.to_bits());
-        ClassThen { aim, give_up, effect, in_order, worth, late_share }
+impl From<&ClassSettings> for RecordedClass {
+    fn from(class: &ClassSettings) -> RecordedClass {
+        let ClassSettings { target_latency: aim, give_up_after: give_up, effect, in_order, .. } = *class;
+        let (worth, late_share) = (class.value.to_bits(), class.late_value_share.to_bits());
+        RecordedClass { aim, give_up, effect, in_order, worth, late_share }
     }
 }
 
-impl From<ClassThen> for ClassSettings {
-    fn from(then: ClassThen) -> ClassSettings {
-        let ClassThen { aim, give_up, effect, in_order, .. } = then;
+impl From<RecordedClass> for ClassSettings {
+    fn from(then: RecordedClass) -> ClassSettings {
+        let RecordedClass { aim, give_up, effect, in_order, .. } = then;
         let (worth, late_share) = (f64::from_bits(then.worth), f64::from_bits(then.late_share));
-        ClassSettings { aim, give_up, effect, in_order, worth, late_share }
+        ClassSettings {
+            target_latency: aim,
+            give_up_after: give_up,
+            effect,
+            in_order,
+            value: worth,
+            late_value_share: late_share,
+        }
     }
 }
 
-impl ClassThen {
+impl RecordedClass {
     fn write(&self, to: &mut Writer) {
         let (code, window) = match self.effect {
             Effect::Safe => (0, Micros(0)),
-            Effect::Keyed { group: Group::All, window } => (1, window),
-            Effect::Keyed { group: Group::Zone, window } => (2, window),
+            Effect::Keyed { scope: DedupScope::Destination, window } => (1, window),
+            Effect::Keyed { scope: DedupScope::Zone, window } => (2, window),
             Effect::Unsafe => (3, Micros(0)),
         };
         to.0.extend([code, u8::from(self.in_order)]);
         to.num(window.0).num(self.aim.0).num(self.give_up.0).num(self.worth).num(self.late_share);
     }
 
-    fn read(from: &mut Reader<'_>) -> Option<ClassThen> {
+    fn read(from: &mut Reader<'_>) -> Option<RecordedClass> {
         let (code, in_order, window) = (from.byte()?, from.byte()? != 0, Micros(from.num()?));
         let effect = match code {
             0 => Effect::Safe,
-            1 => Effect::Keyed { group: Group::All, window },
-            2 => Effect::Keyed { group: Group::Zone, window },
+            1 => Effect::Keyed { scope: DedupScope::Destination, window },
+            2 => Effect::Keyed { scope: DedupScope::Zone, window },
             _ => Effect::Unsafe,
         };
         let (aim, give_up) = (Micros(from.num()?), Micros(from.num()?));
-        Some(ClassThen { aim, give_up, effect, in_order, worth: from.num()?, late_share: from.num()? })
+        Some(RecordedClass { aim, give_up, effect, in_order, worth: from.num()?, late_share: from.num()? })
     }
 }
 
 /// How an attempt ended, as far as a restart needs to know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallEnd {
+pub enum AttemptStatus {
     /// It never ran.
     NeverRan,
     /// It may have run.
@@ -100,19 +107,19 @@
     HeldBack,
 }
 
-impl From<Verdict> for CallEnd {
-    fn from(v: Verdict) -> CallEnd {
+impl From<Verdict> for AttemptStatus {
+    fn from(v: Verdict) -> AttemptStatus {
         match v {
-            Verdict::HeldBack => CallEnd::HeldBack,
-            v if v.may_have_run() => CallEnd::MayHaveRun,
-            _ => CallEnd::NeverRan,
+            Verdict::HeldBack => AttemptStatus::HeldBack,
+            v if v.may_have_run() => AttemptStatus::MayHaveRun,
+            _ => AttemptStatus::NeverRan,
         }
     }
 }
 
 /// The end of a request that its client is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum FinalStatus {
     /// Nothing is promised.
     Failed,
     /// Handing it in again is harmless, best after the wait.
@@ -125,11 +132,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
     /// A request was taken on.
-    Taken(Taken),
+    Accepted(AcceptedMessage),
     /// An attempt is about to be made.
     Attempt {
         /// The request.
-        n: u64,
+        number: u64,
         /// Which attempt: two may be out at once.
         attempt: u32,
         /// Name of the endpoint.
@@ -142,30 +149,30 @@
     /// An attempt that was out has ended.
     Outcome {
         /// The request.
-        n: u64,
+        number: u64,
         /// Which attempt.
         attempt: u32,
         /// How.
-        end: CallEnd,
+        status: AttemptStatus,
     },
     /// What an earlier log knew of a request's attempts.
-    Past {
+    AttemptHistory {
         /// The request.
-        n: u64,
+        number: u64,
         /// Attempts made.
         attempts: u32,
         /// When and in which zone the first went that may have run.
-        maybe_ran: Option<(Micros, String)>,
+        first_possible_run: Option<(Micros, String)>,
     },
     /// The module gave it up; its client is still to be told.
-    Given {
+    FinalStatus {
         /// The request.
-        n: u64,
+        number: u64,
         /// How.
-        end: End,
+        status: FinalStatus,
     },
     /// Nothing more is owed.
-    Over(u64),
+    Closed(u64),
 }
 
 struct Writer(Vec<u8>);
@@ -214,11 +221,13 @@
 
 impl Record {
     /// The request it is about.
-    pub fn n(&self) -> u64 {
+    pub fn number(&self) -> u64 {
         match self {
-            Record::Taken(t) => t.n,
-            Record::Attempt { n, .. } | Record::Outcome { n, .. } => *n,
-            Record::Past { n, .. } | Record::Given { n, .. } | Record::Over(n) => *n,
+            Record::Accepted(t) => t.number,
+            Record::Attempt { number: n, .. } | Record::Outcome { number: n, .. } => *n,
+            Record::AttemptHistory { number: n, .. }
+            | Record::FinalStatus { number: n, .. }
+            | Record::Closed(n) => *n,
         }
     }
 
@@ -226,39 +235,44 @@
     pub fn write(&self, out: &mut Vec<u8>) {
         let mut w = Writer(Vec::with_capacity(64));
         match self {
-            Record::Taken(t) => {
-                w.0.extend([b'T', t.front, u8::from(t.receipt)]);
-                w.num(t.n).num(t.destination).num(t.deadline.0);
-                w.text(&t.id).text(&t.class).text(&t.tenant).text(&t.key).text(&t.note).bytes(&t.body);
+            Record::Accepted(t) => {
+                w.0.extend([b'T', t.frontend, u8::from(t.wants_receipt)]);
+                w.num(t.number).num(t.destination).num(t.deadline.0);
+                w.text(&t.request_id)
+                    .text(&t.class)
+                    .text(&t.tenant)
+                    .text(&t.idempotency_key)
+                    .text(&t.frontend_note)
+                    .bytes(&t.body);
                 // Behind all that older programs read.
-                if let Some(class) = &t.class_then {
+                if let Some(class) = &t.recorded_class {
                     class.write(&mut w);
                 }
             }
-            Record::Attempt { n, attempt, endpoint, zone, at } => {
+            Record::Attempt { number: n, attempt, endpoint, zone, at } => {
                 w.0.push(b'A');
                 w.num(*n).num(at.0).text(endpoint).text(zone).num(u64::from(*attempt));
             }
-            Record::Outcome { n, attempt, end } => {
+            Record::Outcome { number: n, attempt, status: end } => {
                 w.0.extend([b'O', *end as u8]);
                 w.num(*n).num(u64::from(*attempt));
             }
-            Record::Past { n, attempts, maybe_ran } => {
+            Record::AttemptHistory { number: n, attempts, first_possible_run: maybe_ran } => {
                 w.0.extend([b'P', u8::from(maybe_ran.is_some())]);
                 let (at, zone) = maybe_ran.clone().unwrap_or_default();
                 w.num(*n).num(u64::from(*attempts)).num(at.0).text(&zone);
             }
-            Record::Given { n, end } => {
+            Record::FinalStatus { number: n, status: end } => {
                 let (state, wait) = match end {
-                    End::Failed => (0, 0),
-                    End::Returned(None) => (1, 0),
-                    End::Returned(Some(w)) => (2, w.0),
-                    End::Delivered => (3, 0),
+                    FinalStatus::Failed => (0, 0),
+                    FinalStatus::Returned(None) => (1, 0),
+                    FinalStatus::Returned(Some(w)) => (2, w.0),
+                    FinalStatus::Delivered => (3, 0),
                 };
                 w.0.extend([b'G', state]);
                 w.num(*n).num(wait);
             }
-            Record::Over(n) => {
+            Record::Closed(n) => {
                 w.0.push(b'E');
                 w.num(*n);
             }
@@ -274,51 +288,51 @@
         let mut r = Reader(payload);
         Some(match r.byte()? {
             b'T' => {
-                let taken = Taken {
-                    front: r.byte()?,
-                    receipt: r.byte()? != 0,
-                    n: r.num()?,
+                let taken = AcceptedMessage {
+                    frontend: r.byte()?,
+                    wants_receipt: r.byte()? != 0,
+                    number: r.num()?,
                     destination: r.num()?,
                     deadline: Micros(r.num()?),
-                    id: r.text()?,
+                    request_id: r.text()?,
                     class: r.text()?,
-                    class_then: None,
+                    recorded_class: None,
                     tenant: r.text()?,
-                    key: r.text()?,
-                    note: r.text()?,
+                    idempotency_key: r.text()?,
+                    frontend_note: r.text()?,
                     body: r.bytes()?.to_vec(),
                 };
-                Record::Taken(Taken { class_then: ClassThen::read(&mut r), ..taken })
+                Record::Accepted(AcceptedMessage { recorded_class: RecordedClass::read(&mut r), ..taken })
             }
             b'A' => {
                 let (n, at) = (r.num()?, Micros(r.num()?));
-                Record::Attempt { n, at, endpoint: r.text()?, zone: r.text()?, attempt: r.attempt() }
+                Record::Attempt { number: n, at, endpoint: r.text()?, zone: r.text()?, attempt: r.attempt() }
             }
             b'O' => {
                 let end = match r.byte()? {
-                    0 => CallEnd::NeverRan,
-                    2 => CallEnd::HeldBack,
-                    _ => CallEnd::MayHaveRun,
+                    0 => AttemptStatus::NeverRan,
+                    2 => AttemptStatus::HeldBack,
+                    _ => AttemptStatus::MayHaveRun,
                 };
-                Record::Outcome { n: r.num()?, end, attempt: r.attempt() }
+                Record::Outcome { number: r.num()?, status: end, attempt: r.attempt() }
             }
             b'P' => {
                 let ran = r.byte()? != 0;
                 let (n, attempts, at) = (r.num()?, r.num()? as u32, Micros(r.num()?));
                 let zone = r.text()?;
-                Record::Past { n, attempts, maybe_ran: ran.then_some((at, zone)) }
+                Record::AttemptHistory { number: n, attempts, first_possible_run: ran.then_some((at, zone)) }
             }
             b'G' => {
                 let (state, n, wait) = (r.byte()?, r.num()?, Micros(r.num()?));
                 let end = match state {
-                    0 => End::Failed,
-                    1 => End::Returned(None),
-                    3 => End::Delivered,
-                    _ => End::Returned(Some(wait)),
+                    0 => FinalStatus::Failed,
+                    1 => FinalStatus::Returned(None),
+                    3 => FinalStatus::Delivered,
+                    _ => FinalStatus::Returned(Some(wait)),
                 };
-                Record::Given { n, end }
+                Record::FinalStatus { number: n, status: end }
             }
-            b'E' => Record::Over(r.num()?),
+            b'E' => Record::Closed(r.num()?),
             _ => return None,
         })
     }
@@ -326,11 +340,11 @@
 
 /// What a log held.
 #[derive(Debug, Default)]
-pub struct Scan {
+pub struct LogScan {
     /// The records that are whole.
     pub records: Vec<Record>,
     /// Bytes that belong to none.
-    pub damaged: usize,
+    pub damaged_bytes: usize,
 }
 
 fn frame(bytes: &[u8]) -> Option<(Record, usize)> {
@@ -349,14 +363,14 @@
 
 /// Reads a log. After damage it goes on at the next frame that is whole: a process killed in the middle of a
 /// write leaves a torn tail, and a bad sector must not take what stands behind it along.
-pub fn frames(bytes: &[u8]) -> Scan {
-    let (mut scan, mut at) = (Scan::default(), 0);
+pub fn scan_log(bytes: &[u8]) -> LogScan {
+    let (mut scan, mut at) = (LogScan::default(), 0);
     while at < bytes.len() {
         if let Some((record, n)) = frame(&bytes[at..]) {
             scan.records.push(record);
             at += n;
         } else {
-            scan.damaged += 1;
+            scan.damaged_bytes += 1;
             at += 1;
         }
     }
--- a/src/core/step.rs
+++ b/src/core/step.rs
@@ -1,53 +1,53 @@
 //! What the ledger has its caller carry out, and what it is told of it.
 
-use super::record::End;
+use super::record::FinalStatus;
 use crate::interface::{DestinationId, Micros, ReceiverId, Verdict};
 
 /// Something for the caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum LedgerAction {
     /// Make an attempt.
     Call {
         /// The request.
-        n: u64,
+        number: u64,
         /// Which attempt of this process, for its outcome.
         attempt: u32,
         /// Where to.
-        to: ReceiverId,
+        receiver: ReceiverId,
         /// How long to wait for the answer.
-        patience: Micros,
+        timeout: Micros,
     },
     /// Wait no longer for the answer of an attempt: its request has ended by another.
-    CallOff {
+    CancelAttempt {
         /// The request.
-        n: u64,
+        number: u64,
         /// Which attempt.
         attempt: u32,
     },
     /// Make the call of a probe.
     Probe {
         /// Its number; requests have others.
-        n: u64,
+        number: u64,
         /// Where to.
-        to: ReceiverId,
+        receiver: ReceiverId,
         /// How long to wait for the answer.
-        patience: Micros,
+        timeout: Micros,
     },
     /// Send these bytes to all other senders, who take them as [`Ledger::note`]. They name the endpoint by its number here.
-    Tell(ReceiverId, Vec<u8>),
+    SendPeerHint(ReceiverId, Vec<u8>),
     /// Tell the client that the request has ended undelivered.
-    End {
+    ReportFinalStatus {
         /// The request.
-        n: u64,
+        number: u64,
         /// How.
-        end: End,
+        status: FinalStatus,
     },
     /// Close the idle connections to an endpoint.
-    CloseIdle(ReceiverId),
+    CloseIdleConnections(ReceiverId),
     /// Ask for the list and its changes.
-    Follow,
+    RequestList,
     /// For the log: an endpoint is taken for out of order from now on.
-    Sick {
+    LogUnhealthy {
         /// Which.
         receiver: ReceiverId,
         /// Its destination.
@@ -59,22 +59,22 @@
 
 /// Why an attempt must not be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptRefused {
+pub enum AttemptDenied {
     /// The request is over, or has as many attempts out as it may.
-    Over,
+    NotOpen,
     /// An earlier attempt may have run, and the request may not run again, here or now.
-    Repeat,
+    RepeatForbidden,
 }
 
 /// The end of one attempt.
 #[derive(Clone, Debug)]
-pub struct Answered {
+pub struct AttemptOutcome {
     /// The request.
-    pub n: u64,
+    pub number: u64,
     /// Which attempt.
     pub attempt: u32,
     /// Where it went.
-    pub to: ReceiverId,
+    pub receiver: ReceiverId,
     /// How it ended.
     pub verdict: Verdict,
     /// Time since it was decided on.
@@ -82,29 +82,29 @@
     /// Nothing more is owed.
     pub finished: bool,
     /// The limit that the answer told, and what is left of it.
-    pub limit: (Option<f64>, Option<f64>),
+    pub load_report: (Option<f64>, Option<f64>),
     /// Nothing more may go there before, as its answer told, whatever became of the attempt; zero if it told nothing.
-    pub told: Micros,
+    pub wait_until: Micros,
 }
 
 /// What became of the messages that a start found taken on and untried. What is in none of the ends still waits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Found {
+pub struct RecoveryStats {
     /// So many there were.
     pub untried: usize,
     /// Their time was over at the start.
-    pub over: usize,
+    pub expired_at_start: usize,
     /// They got their call.
-    pub tried: usize,
+    pub attempted: usize,
     /// They ended without one, at the end of their time.
-    pub late: usize,
+    pub expired_unattempted: usize,
     /// The same with time left: a wait was told, or their class has left the settings.
-    pub early: usize,
+    pub ended_early: usize,
 }
 
-impl Found {
+impl RecoveryStats {
     /// None of them waits any more.
     pub fn settled(&self) -> bool {
-        self.over + self.tried + self.late + self.early >= self.untried
+        self.expired_at_start + self.attempted + self.expired_unattempted + self.ended_early >= self.untried
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -10,7 +10,7 @@
 impl Micros {
     /// This point in time moved later by a span.
     #[must_use]
-    pub fn after(self, span: Micros) -> Micros {
+    pub fn plus(self, span: Micros) -> Micros {
         Micros(self.0.saturating_add(span.0))
     }
     /// The span from `earlier` to this point, zero if `earlier` is not earlier.
@@ -54,9 +54,9 @@
 
 /// Which receivers of a destination drop the repeat of a keyed message.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Group {
+pub enum DedupScope {
     /// All of them.
-    All,
+    Destination,
     /// Those in the zone of the receiver that was tried first.
     Zone,
 }
@@ -69,7 +69,7 @@
     /// Dropped by the `group` for `window` from the send of the first attempt that may have run.
     Keyed {
         /// Who drops the repeat.
-        group: Group,
+        scope: DedupScope,
         /// For how long.
         window: Micros,
     },
@@ -80,29 +80,29 @@
 
 /// How worth falls after the aim.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub enum Fade {
+pub enum ValueDecay {
     #[default]
     /// Evenly, down to the late share at the deadline.
-    Line,
+    Linear,
     /// By half with each further aim, not below the late share.
-    Halves,
+    Halving,
 }
 
 /// A class of messages.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClassSettings {
     /// Full worth when delivered within this span.
-    pub aim: Micros,
+    pub target_latency: Micros,
     /// The span after which a message is given up.
-    pub give_up: Micros,
+    pub give_up_after: Micros,
     /// What a repeat does.
     pub effect: Effect,
     /// Messages with one key go one at a time, in order of arrival.
     pub in_order: bool,
     /// Worth of one message.
-    pub worth: f64,
+    pub value: f64,
     /// Share of the worth left at the deadline.
-    pub late_share: f64,
+    pub late_value_share: f64,
 }
 
 /// A tenant.
@@ -116,9 +116,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct KindSettings {
     /// Its receivers are separate routes, each with a limit and outages of its own.
-    pub apart: bool,
+    pub separate_routes: bool,
     /// Messages that one call may carry.
-    pub batch: u32,
+    pub messages_per_call: u32,
 }
 
 /// What the weights in the list mean.
@@ -145,9 +145,9 @@
     /// For each zone, what a message taken on by a separate route there costs.
     pub zone_fees: Vec<f64>,
     /// How worth falls after the aim.
-    pub fade: Fade,
+    pub value_decay: ValueDecay,
     /// Worth of a message beyond its tenant's share, as a fraction.
-    pub over_share_worth: f64,
+    pub over_share_value: f64,
     /// Calls that may be out at once.
     pub slots: u32,
     /// Messages that may be held.
@@ -157,41 +157,41 @@
     /// A message that is safe to repeat may have two attempts out at once.
     pub second_copies: bool,
     /// An attempt may be called off.
-    pub cancel: bool,
+    pub allow_cancel: bool,
     /// Answers may report a limit and what is left of it; what comes without that word is not believed.
-    pub reports: bool,
+    pub load_reports: bool,
     /// Senders that share the traffic, this one included.
-    pub senders: u32,
+    pub sender_count: u32,
     /// Which of them this one is, from zero.
-    pub number: u32,
+    pub sender_index: u32,
     /// A refusal's retry-after reaches the client.
-    pub retry_after: bool,
+    pub send_retry_after: bool,
     /// The longest wait that a client heeds.
     pub max_retry_after: Micros,
     /// The list must be subscribed to.
-    pub subscribe: bool,
+    pub subscribe_to_list: bool,
     /// What weights mean.
     pub weights: Weights,
     /// How long a key rests after an attempt with an unsure end.
-    pub key_rest: Micros,
+    pub key_cooldown: Micros,
     /// A destination back from an outage falls over when sent more than this multiple of its capacity...
-    pub fall_multiple: f64,
+    pub collapse_multiple: f64,
     /// ... for this long.
-    pub fall_window: Micros,
+    pub collapse_window: Micros,
     /// Share of its capacity that it has at first.
-    pub cold_from: f64,
+    pub cold_start_share: f64,
     /// It has all of it after this.
-    pub warm_within: Micros,
+    pub warm_up_time: Micros,
     /// How long a connection stays open without a call; zero if that is not known.
-    pub connection_idle: Micros,
+    pub connection_idle_timeout: Micros,
     /// Short notes to the other senders are allowed.
-    pub notes: bool,
+    pub peer_hints: bool,
     /// The class of probes, if one sender probes for all; see [`Settings::hold_back`].
     pub probe_class: Option<ClassId>,
     /// So much later than a probe would, other messages try what is out of order: by then no sender may be probing it.
-    pub hold_back: Micros,
+    pub message_probe_delay: Micros,
     /// Without a subscription the list must be asked for at least this often.
-    pub ask_every: Micros,
+    pub list_poll_interval: Micros,
 }
 
 /// Up to so many senders ask for the list as they like.
@@ -200,20 +200,20 @@
 impl Settings {
     /// So many senders share what gives out the list that what each asks unasked adds up.
     #[must_use]
-    pub fn share_much(&self) -> bool {
-        self.senders > FEW
+    pub fn large_fleet(&self) -> bool {
+        self.sender_count > FEW
     }
 
     /// Where all senders ask for the list at one moment, each may make so many calls, and a change is known in time.
     #[must_use]
     pub fn list_calls_fit(&self, calls_each: u32) -> bool {
-        crate::list_refresh::calls_fit(self.senders, calls_each)
+        crate::list_refresh::calls_fit(self.sender_count, calls_each)
     }
 }
 
 /// State of a receiver in the list. Says nothing of its health.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub enum Listing {
+pub enum EntryState {
     /// May be used.
     #[default]
     Ready,
@@ -225,11 +225,11 @@
 
 /// One line of the list of receivers.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct ListEntry {
     /// The receiver.
     pub receiver: ReceiverId,
     /// Its state.
-    pub listing: Listing,
+    pub state: EntryState,
     /// Its destination.
     pub destination: DestinationId,
     /// Its kind.
@@ -250,31 +250,31 @@
     /// Whose it is.
     pub tenant: Option<TenantId>,
     /// Key of its order.
-    pub key: Option<String>,
+    pub ordering_key: Option<String>,
     /// Where it goes.
     pub destination: DestinationId,
     /// How long it may still be delivered.
-    pub left: Micros,
+    pub time_left: Micros,
 }
 
 /// What an earlier process did with a message. An attempt that was out at its death may have run.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub struct Past {
+pub struct AttemptHistory {
     /// Attempts made; they count.
     pub attempts: u32,
     /// When and where the first attempt went that may have run.
-    pub maybe_ran: Option<(Micros, ZoneId)>,
+    pub first_possible_run: Option<(Micros, ZoneId)>,
 }
 
 /// What a destination, or a route apart, was like when it went to rest, or what that is still worth when it wakes.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
-pub struct Repute {
+pub struct RetainedHealth {
     /// Calls a second that it served this sender; zero if nothing is known.
-    pub served: f64,
+    pub served_per_s: f64,
     /// Nothing may go there before.
     pub wait_until: Micros,
     /// It was out of order, and nothing has been heard of it since.
-    pub sick: bool,
+    pub unhealthy: bool,
 }
 
 /// How an attempt ended.
@@ -308,15 +308,15 @@
 
 /// Whether a call may leave that was decided on before: it may have waited for its connection meanwhile.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Leave {
+pub enum SendRecheck {
     /// It may.
-    Go,
+    Allowed,
     /// Its message has ended.
-    Over,
+    MessageEnded,
     /// A wait that its receiver or destination told still runs.
-    Wait,
+    WithinRetryAfter,
     /// No rule lets it go any more.
-    Late,
+    NoLongerAllowed,
 }
 
 /// The end of one attempt.
@@ -335,15 +335,15 @@
     /// The message is finished; no answer is owed any more.
     pub finished: bool,
     /// The destination's limit in calls a second, if it reported one.
-    pub limit: Option<f64>,
+    pub limit_per_s: Option<f64>,
     /// The share of that limit which is left just now, 0 to 1, if it reported one.
-    pub left: Option<f64>,
+    pub remaining_share: Option<f64>,
 }
 
 /// The limit and the share that is left of it, from what an answer held. Half of a report is none, and so is one that
 /// cannot be: it must never change what the answer itself says.
 #[must_use]
-pub fn report(limit: Option<f64>, left: Option<f64>) -> (Option<f64>, Option<f64>) {
+pub fn load_report(limit: Option<f64>, left: Option<f64>) -> (Option<f64>, Option<f64>) {
     match (limit, left) {
         (Some(l), Some(x)) if (0.0..=1e9).contains(&l) && (0.0..=1.0).contains(&x) => (limit, left),
         _ => (None, None),
@@ -353,12 +353,12 @@
 impl Outcome {
     /// The share that is left of a limit, where the answer told both.
     #[must_use]
-    pub fn left(&self) -> Option<f64> {
-        self.limit.filter(|l| *l > 0.0).and(self.left)
+    pub fn remaining_share(&self) -> Option<f64> {
+        self.limit_per_s.filter(|l| *l > 0.0).and(self.remaining_share)
     }
     /// The wait that a refusal told; zero if it told none.
     #[must_use]
-    pub fn wait(&self) -> Micros {
+    pub fn retry_after(&self) -> Micros {
         if let Verdict::Full(Some(wait)) = self.verdict { wait } else { Micros(0) }
     }
 }
@@ -367,33 +367,33 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The list as last held before a restart; possibly stale.
-    DiskList(Vec<Entry>),
+    PersistedList(Vec<ListEntry>),
     /// Entries of a list that the caller has had for a while: no word from whoever gives the list out.
-    Known(Vec<Entry>),
+    CachedEntries(Vec<ListEntry>),
     /// The whole list; what is not in it is gone.
-    FullList(Vec<Entry>),
+    FullList(Vec<ListEntry>),
     /// Changed lines only.
-    ListChanges(Vec<Entry>),
+    ListChanges(Vec<ListEntry>),
     /// The subscription broke, or a call for the list took its time and failed.
     ListFailed,
     /// A call for the list failed at once: it waited in no queue, and no other call need have failed with it.
     ListRefused,
     /// The list comes from elsewhere now, and is being asked for there.
-    ListMoved,
+    ListSourceChanged,
     /// A message was handed in.
     Submit(Message),
     /// A message that an earlier process of this sender took on and still owes its end.
-    Resume(Message, Past),
+    Resume(Message, AttemptHistory),
     /// An attempt ended. Exactly one for each send.
     Outcome(Outcome),
     /// A receiver told a wait, whatever becomes of the call that it told it to.
-    Wait(ReceiverId, Micros),
+    RetryAfter(ReceiverId, Micros),
     /// Bytes that another sender was asked to [`Action::Tell`]; anything else is ignored.
-    Note(Vec<u8>),
+    PeerHint(Vec<u8>),
     /// Nobody wants the message any more; attempts in flight run on.
     Withdrawn(MessageId),
     /// A wake-up that was asked for has come.
-    Wake,
+    TimerFired,
 }
 
 /// Something to do.
@@ -407,10 +407,10 @@
         /// Where to.
         receiver: ReceiverId,
         /// How long to wait for the answer.
-        patience: Micros,
+        timeout: Micros,
     },
     /// Wait no longer for an attempt that is out: its message has ended by another. Its outcome is still owed.
-    CallOff {
+    CancelAttempt {
         /// The message.
         id: MessageId,
         /// Which attempt, from zero.
@@ -426,15 +426,15 @@
     /// Final answer: failed, nothing promised.
     Fail(MessageId),
     /// Send these bytes to all other senders, who take them as [`Event::Note`]. They may be lost.
-    Tell(Vec<u8>),
+    SendPeerHint(Vec<u8>),
     /// Close the idle connections to a receiver; calls out are not touched.
-    CloseIdle(ReceiverId),
+    CloseIdleConnections(ReceiverId),
     /// Subscribe to changes of the list.
-    Follow,
+    RequestList,
     /// Hand in [`Event::Wake`] after this span.
-    WakeAfter(Micros),
+    SetTimer(Micros),
     /// For the operators' log: the receiver is taken for out of order from now on.
-    Sick {
+    LogUnhealthy {
         /// Which.
         receiver: ReceiverId,
         /// Its destination.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -81,7 +81,7 @@
 pub mod core;
 pub mod interface;
 mod list_refresh;
-mod news;
+mod peer_hint;
 pub mod policy;
 mod state;
 
--- a/src/list_refresh.rs
+++ b/src/list_refresh.rs
@@ -60,24 +60,24 @@
 
 impl ListRefresh {
     pub fn new(settings: &Settings) -> ListRefresh {
-        let round = f64::from(settings.senders) * CALL_GAP_S;
+        let round = f64::from(settings.sender_count) * CALL_GAP_S;
         let longest = Micros::from_secs(PAUSE_MOST.secs() / (1.0 + JITTER / 2.0));
         // Where nothing says how often to ask, every change counts as known at once: then nobody may wait.
-        let many = settings.share_much() && settings.ask_every > Micros(0);
+        let many = settings.large_fleet() && settings.list_poll_interval > Micros(0);
         // Silence for longer than `ask_every` counts as having been told, and a failed call is as late: the last turn
         // comes before both.
-        let within = settings.ask_every.min(KNOWN_WITHIN).secs() * TURNS_WITHIN;
-        let place = f64::from(settings.number) / f64::from(settings.senders.max(1));
+        let within = settings.list_poll_interval.min(KNOWN_WITHIN).secs() * TURNS_WITHIN;
+        let place = f64::from(settings.sender_index) / f64::from(settings.sender_count.max(1));
         let turn = if many { Micros::from_secs(round.min(within) * place) } else { Micros(0) };
         let pause_least = Micros::from_secs(round * LOST_PAUSE_PART).min(LOST_PAUSE_MOST);
         let lost = (pause_least, Micros::from_secs(round).min(LOST_SPREAD_MOST));
         ListRefresh {
-            due: settings.subscribe.then_some(Micros(0)),
-            subscribe: settings.subscribe,
+            due: settings.subscribe_to_list.then_some(Micros(0)),
+            subscribe: settings.subscribe_to_list,
             turn: Some(turn),
             has_list: false,
             pause: if many { Micros::from_secs(round).clamp(PAUSE_LEAST, longest) } else { PAUSE_LEAST },
-            lost: (many && !calls_fit(settings.senders, ROUNDS_THAT_NEED_NO_SPREAD)).then_some(lost),
+            lost: (many && !calls_fit(settings.sender_count, ROUNDS_THAT_NEED_NO_SPREAD)).then_some(lost),
         }
     }
 
@@ -89,14 +89,15 @@
     /// A call is to be made now.
     pub fn take_due(&mut self, now: Micros) -> bool {
         if let Some(turn) = self.turn.take().filter(|t| self.subscribe && self.has_list && *t > Micros(0)) {
-            self.due = Some(now.after(turn));
+            self.due = Some(now.plus(turn));
         }
         self.due.take_if(|due| *due <= now).is_some()
     }
 
     /// Takes note of a list that came, or that the sender had before its start.
     pub fn heard(&mut self, event: &Event) {
-        self.has_list |= matches!(event, Event::FullList(_) | Event::ListChanges(_) | Event::DiskList(_));
+        self.has_list |=
+            matches!(event, Event::FullList(_) | Event::ListChanges(_) | Event::PersistedList(_));
     }
 
     /// Discovery is being asked elsewhere already.
@@ -109,9 +110,9 @@
         match self.lost.filter(|_| self.subscribe) {
             Some((least, spread)) => {
                 let by_chance = Micros::from_secs(spread.secs() * rng.roll());
-                self.due = Some(now.after(least).after(by_chance));
+                self.due = Some(now.plus(least).plus(by_chance));
             }
-            None => self.due = self.subscribe.then_some(now.after(LOST_PAUSE)),
+            None => self.due = self.subscribe.then_some(now.plus(LOST_PAUSE)),
         }
     }
 
@@ -119,7 +120,7 @@
     pub fn refused(&mut self, now: Micros, rng: &mut Rng) {
         if self.subscribe {
             let jitter = 1.0 + JITTER * (rng.roll() - 0.5);
-            self.due = Some(now.after(Micros::from_secs(self.pause.secs() * jitter)));
+            self.due = Some(now.plus(Micros::from_secs(self.pause.secs() * jitter)));
         }
     }
 }
--- a/src/news.rs
+++ b/src/peer_hint.rs
@@ -9,22 +9,22 @@
 
 /// What happened at a receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum News {
+pub(crate) enum PeerHint {
     /// It refused a call, and told no wait.
     Refused,
     /// It took a call, and had been doubted.
-    Up,
+    Recovered,
     /// It told a wait.
-    Wait(Micros),
+    RetryAfter(Micros),
 }
 
-impl News {
-    pub fn write(self, of: ReceiverId) -> Vec<u8> {
+impl PeerHint {
+    pub fn encode(self, of: ReceiverId) -> Vec<u8> {
         let id = &of.0.to_le_bytes()[..4];
         match self {
-            News::Refused => id.to_vec(),
-            News::Up => [id, &[UP]].concat(),
-            News::Wait(wait) => {
+            PeerHint::Refused => id.to_vec(),
+            PeerHint::Recovered => [id, &[UP]].concat(),
+            PeerHint::RetryAfter(wait) => {
                 let ms = u32::try_from(wait.0.div_ceil(1000)).unwrap_or(u32::MAX).to_le_bytes();
                 [id, &[WAIT], &ms].concat()
             }
@@ -32,14 +32,14 @@
     }
 
     /// None of bytes that are no news: they come from outside.
-    pub fn read(data: &[u8]) -> Option<(ReceiverId, News)> {
+    pub fn decode(data: &[u8]) -> Option<(ReceiverId, PeerHint)> {
         let (id, news) = data.split_first_chunk::<4>()?;
         let news = match news {
-            [] => News::Refused,
-            [UP] => News::Up,
+            [] => PeerHint::Refused,
+            [UP] => PeerHint::Recovered,
             [WAIT, ms @ ..] => {
                 let ms = u32::from_le_bytes(ms.try_into().ok()?);
-                News::Wait(Micros(u64::from(ms.min(WAIT_MOST_MS)) * 1000))
+                PeerHint::RetryAfter(Micros(u64::from(ms.min(WAIT_MOST_MS)) * 1000))
             }
             _ => return None,
         };
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -6,7 +6,7 @@
 use crate::connections::ConnectionTable;
 use crate::interface::*;
 use crate::list_refresh::ListRefresh;
-use crate::news::News;
+use crate::peer_hint::PeerHint;
 use crate::state::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -28,7 +28,7 @@
     /// Decides what to do now, after all events of this moment.
     pub fn decide(&mut self, now: Micros, actions: &mut Vec<Action>) {
         actions.append(&mut self.called_off);
-        actions.extend(self.list_refresh.take_due(now).then_some(Action::Follow));
+        actions.extend(self.list_refresh.take_due(now).then_some(Action::RequestList));
         let due = self.agenda.take_due(now);
         due.iter().for_each(|id| self.refresh(now, *id));
         let looks = self.send_best(now, &due, actions);
@@ -42,7 +42,7 @@
         let wake = self.list_refresh.due().into_iter().chain(self.agenda.next()).min();
         if let Some(at) = wake.filter(|at| self.wake_at.is_none_or(|t| *at < t)) {
             self.wake_at = Some(at);
-            actions.push(Action::WakeAfter(at.since(now).max(Micros(1))));
+            actions.push(Action::SetTimer(at.since(now).max(Micros(1))));
         }
     }
 
@@ -59,7 +59,8 @@
     ) {
         let Some(m) = self.held.get(&id).filter(|m| !m.ended && m.out.is_empty()) else { return };
         actions.push(if m.may_refuse(&self.set, now) {
-            let retry_after = wait.filter(|_| self.set.retry_after).map(|w| w.min(self.set.max_retry_after));
+            let retry_after =
+                wait.filter(|_| self.set.send_retry_after).map(|w| w.min(self.set.max_retry_after));
             Action::Refuse { id, retry_after }
         } else {
             Action::Fail(id)
@@ -81,13 +82,13 @@
 
     /// All slots are taken and messages wait: calls that were overtaken give way, where the message may be repeated.
     fn give_way(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let held = if self.set.cancel && !self.starved.is_empty() { &mut self.held } else { return };
+        let held = if self.set.allow_cancel && !self.starved.is_empty() { &mut self.held } else { return };
         for (id, m) in held.iter_mut().filter(|(_, m)| m.attempts <= GIVES_WAY) {
             let safe = self.set.classes[m.class.0].effect != Effect::Unsafe;
             for a in m.out.iter_mut().filter(|a| safe && !a.called_off) {
                 let r = self.receivers.get(&a.receiver);
                 a.called_off = r.is_some_and(|r| r.overtaken(a.sent, now.since(a.sent).secs()));
-                actions.extend(a.called_off.then_some(Action::CallOff { id: *id, attempt: a.number }));
+                actions.extend(a.called_off.then_some(Action::CancelAttempt { id: *id, attempt: a.number }));
             }
         }
     }
--- a/src/policy/connections.rs
+++ b/src/policy/connections.rs
@@ -14,7 +14,7 @@
     /// seen to be full, since who holds a place is never refused there, and then each after its call. Where nothing says
     /// that the table is full a connection that is kept for long is given back as well: the next one then tells.
     pub(super) fn give_back(&mut self, now: Micros, id: ReceiverId, full_before: bool) {
-        if self.set.connection_idle == Micros(0) || self.set.senders < 2 {
+        if self.set.connection_idle_timeout == Micros(0) || self.set.sender_count < 2 {
             return; // nothing is kept, or there is nobody to leave room for
         }
         if !self.table_full(id) {
@@ -49,7 +49,7 @@
             if let Some(r) = self.receivers.get_mut(&id) {
                 r.connections.close_idle();
             }
-            actions.push(Action::CloseIdle(id));
+            actions.push(Action::CloseIdleConnections(id));
         }
     }
 }
@@ -62,7 +62,7 @@
         if matches!(self.health, Health::Sick { since, .. } if sent >= since) {
             self.health = Health::Recovering { since: now };
         }
-        let answering = now <= self.last_delivered.after(Micros::from_secs(self.slow_bar()));
+        let answering = now <= self.last_delivered.plus(Micros::from_secs(self.slow_bar()));
         let c = &mut self.connections;
         c.most = if answering { self.calls.len() } else { 0 };
         if sent < c.refused_at {
@@ -72,7 +72,7 @@
         c.refused_run += 1;
         let doublings = (c.refused_run - 1).min(CONNECT_BACKOFF_DOUBLINGS);
         let pause = Micros::from_secs(self.norm * f64::from(1u32 << doublings) * (0.5 + roll));
-        c.connect_at = now.after(pause);
+        c.connect_at = now.plus(pause);
     }
 
     /// Whether the table had room for one more connection when last asked, or may have by now.
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -5,15 +5,15 @@
 impl Outcome {
     /// Refused with much of its limit left: not by the limit, so it may be shut.
     pub(super) fn odd(&self) -> bool {
-        matches!(self.verdict, Verdict::Full(_)) && self.left().is_some_and(|x| x > ALLOWANCE_LEFT)
+        matches!(self.verdict, Verdict::Full(_)) && self.remaining_share().is_some_and(|x| x > ALLOWANCE_LEFT)
     }
     /// Refused by the limit, as the answer tells: no outage, however long it goes on.
     pub(super) fn used_up(&self) -> bool {
-        self.left().is_some_and(|x| x <= ALLOWANCE_LEFT)
+        self.remaining_share().is_some_and(|x| x <= ALLOWANCE_LEFT)
     }
     /// A wait longer than limits ask for tells of an outage; what opens then is cold.
     pub(super) fn long_wait(&self) -> bool {
-        self.wait() >= LONG_WAIT && !self.used_up()
+        self.retry_after() >= LONG_WAIT && !self.used_up()
     }
 }
 
@@ -21,8 +21,8 @@
     /// Calls that hang raise no outcome: the age of two makes the receiver sick, at this time. One tells of itself.
     pub(super) fn silent_at(&self) -> Micros {
         let Some(oldest) = self.calls.values().nth(1) else { return NEVER };
-        let bar = Micros::from_secs(SILENT_NORMS * self.norm).after(SILENT_PLUS);
-        oldest.after(bar).max(self.last_delivered.after(SILENT_PLUS)).after(Micros(1))
+        let bar = Micros::from_secs(SILENT_NORMS * self.norm).plus(SILENT_PLUS);
+        oldest.plus(bar).max(self.last_delivered.plus(SILENT_PLUS)).plus(Micros(1))
     }
     pub(super) fn slow_bar(&self) -> f64 {
         SLOW_NORMS * self.norm + 0.1
@@ -52,7 +52,7 @@
         match self.health {
             Health::Sick { since, backoff, .. } if sent >= since => {
                 let longer = Micros::from_secs(backoff.secs() * TRIAL_GROWTH).min(TRIAL_MOST);
-                self.health = Health::Sick { since, trial_at: now.after(longer), backoff: longer };
+                self.health = Health::Sick { since, trial_at: now.plus(longer), backoff: longer };
             }
             Health::Sick { .. } => {}
             _ if self.mostly_fails(broad) => self.sicken(now, TRIAL_FIRST),
@@ -64,7 +64,9 @@
     }
     pub(super) fn on_refusal(&mut self, now: Micros, sent: Micros, o: &Outcome, shut: bool, odd: bool) {
         match self.health {
-            _ if o.long_wait() || self.sick() && o.wait() > Micros(0) => self.sicken(now, o.wait()),
+            _ if o.long_wait() || self.sick() && o.retry_after() > Micros(0) => {
+                self.sicken(now, o.retry_after())
+            }
             Health::Sick { .. } => self.on_failure(now, sent, 0.0),
             _ if shut => self.sicken(now, TRIAL_FIRST),
             Health::Suspect { .. } => {}
@@ -83,7 +85,7 @@
         let weight = if proven == Micros(0) { 1.0 } else { weight };
         self.norm += weight * (elapsed.min(self.norm * 4.0) - self.norm);
         // No outage longer than a window of the rule fits between two proofs so close to each other.
-        let blinked = sent.since(proven).min(now.since(trouble)) <= set.fall_window;
+        let blinked = sent.since(proven).min(now.since(trouble)) <= set.collapse_window;
         let back = if blinked { Health::Well } else { Health::Recovering { since: now } };
         match self.health {
             // Most outages take all receivers of a destination: one not heard of since may be cold too.
@@ -94,7 +96,9 @@
                 self.health = Health::Suspect { since: now };
             }
             Health::Sick { since, .. } if sent >= since => self.health = Health::Recovering { since: now },
-            Health::Recovering { since } if now.since(since) >= set.warm_within => self.health = Health::Well,
+            Health::Recovering { since } if now.since(since) >= set.warm_up_time => {
+                self.health = Health::Well
+            }
             _ => {}
         }
     }
--- a/src/policy/idle.rs
+++ b/src/policy/idle.rs
@@ -10,17 +10,23 @@
 impl PolicyEngine {
     /// Takes a destination out, if nothing is held or out for it: what it was like, and what its receivers were like.
     /// None if it cannot rest now, and then it is as before.
-    pub fn rest(&mut self, now: Micros, id: DestinationId) -> Option<(Repute, Vec<(ReceiverId, Repute)>)> {
+    pub fn rest(
+        &mut self, now: Micros, id: DestinationId,
+    ) -> Option<(RetainedHealth, Vec<(ReceiverId, RetainedHealth)>)> {
         let Some(d) = self.destinations.get(&id) else { return Some(Default::default()) };
         let known = || d.receivers.iter().filter_map(|r| Some((*r, self.receivers.get(r)?)));
         // One that has left the list is known by nothing but its number: its wait is heeded here.
-        let owes = |r: &Receiver| r.listing == Listing::Gone && r.pace.wait_until > now;
+        let owes = |r: &Receiver| r.listing == EntryState::Gone && r.pace.wait_until > now;
         if !d.waiting.is_empty() || known().any(|(_, r)| !r.calls.is_empty() || owes(r)) {
             return None;
         }
-        let of = |pace: &Pace, sick| Repute { served: pace.usual, wait_until: pace.wait_until, sick };
+        let of = |pace: &Pace, sick| RetainedHealth {
+            served_per_s: pace.usual,
+            wait_until: pace.wait_until,
+            unhealthy: sick,
+        };
         let each: Vec<_> = known().map(|(to, r)| (to, of(&r.pace, r.out_of_order(d)))).collect();
-        let listed = || known().filter(|(_, r)| r.listing != Listing::Gone);
+        let listed = || known().filter(|(_, r)| r.listing != EntryState::Gone);
         let whole = of(&d.pace, listed().next().is_some() && listed().all(|(_, r)| r.out_of_order(d)));
         for (to, _) in &each {
             self.receivers.remove(to);
@@ -32,20 +38,21 @@
     /// Takes a destination in that has rested, with what is still known of it and of its receivers. `assumed` is what
     /// it takes, in calls a second from all senders together, where neither the list nor memory says.
     pub fn wake(
-        &mut self, now: Micros, id: DestinationId, whole: Repute, each: Vec<(Entry, Repute)>, assumed: f64,
+        &mut self, now: Micros, id: DestinationId, whole: RetainedHealth,
+        each: Vec<(ListEntry, RetainedHealth)>, assumed: f64,
     ) {
         let reputes: Vec<_> = each.iter().map(|(e, repute)| (e.receiver, *repute)).collect();
         self.on_list(each.into_iter().map(|(e, _)| e).collect(), false);
         let d = self.destinations.entry(id).or_default();
         let share = assumed / self.scale.senders;
-        let cold = if self.set.fall_multiple > 0.0 { self.set.cold_from } else { START_SHARE };
+        let cold = if self.set.collapse_multiple > 0.0 { self.set.cold_start_share } else { START_SHARE };
         let mut told_all = 0.0f64;
         for (to, repute) in reputes {
             let Some(r) = self.receivers.get_mut(&to) else { continue };
             let told = told_share(&self.set, r);
             told_all = told_all.max(told);
             r.health = Health::Recovering { since: now };
-            if repute.sick {
+            if repute.unhealthy {
                 r.wake_sick(now);
                 d.trouble_at = now;
             }
@@ -58,10 +65,10 @@
     }
 
     /// A receiver of a destination in use is back in the list, and this is still known of it.
-    pub fn recall(&mut self, now: Micros, to: ReceiverId, repute: Repute) {
+    pub fn recall(&mut self, now: Micros, to: ReceiverId, repute: RetainedHealth) {
         let Some(r) = self.receivers.get_mut(&to) else { return };
         r.pace.wait_until = r.pace.wait_until.max(repute.wait_until);
-        if repute.sick && r.health == Health::Well {
+        if repute.unhealthy && r.health == Health::Well {
             r.wake_sick(now);
             if let Some(d) = self.destinations.get_mut(&r.destination) {
                 d.trouble_at = now;
@@ -95,10 +102,12 @@
 impl Pace {
     /// Severe: what it surely has when cold, by the least of what was served and is told. The first call may go at once:
     /// nobody else learns of its waking, so no crowd of senders meets there.
-    fn start_woken(&mut self, now: Micros, repute: Repute, told: f64, assumed: f64, cold: f64, scale: Scale) {
-        let likely = match (repute.served > 0.0, told > 0.0) {
-            (true, true) => repute.served.min(told),
-            (true, false) => repute.served,
+    fn start_woken(
+        &mut self, now: Micros, repute: RetainedHealth, told: f64, assumed: f64, cold: f64, scale: Scale,
+    ) {
+        let likely = match (repute.served_per_s > 0.0, told > 0.0) {
+            (true, true) => repute.served_per_s.min(told),
+            (true, false) => repute.served_per_s,
             (false, true) => told,
             (false, false) => assumed,
         };
--- a/src/policy/intake.rs
+++ b/src/policy/intake.rs
@@ -84,27 +84,29 @@
     pub fn on_event(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.list_refresh.heard(&event);
         match event {
-            Event::DiskList(entries) | Event::FullList(entries) => self.on_list(entries, true),
-            Event::Known(entries) | Event::ListChanges(entries) => self.on_list(entries, false),
+            Event::PersistedList(entries) | Event::FullList(entries) => self.on_list(entries, true),
+            Event::CachedEntries(entries) | Event::ListChanges(entries) => self.on_list(entries, false),
             Event::ListFailed => self.list_refresh.failed(now, &mut self.rng),
             Event::ListRefused => self.list_refresh.refused(now, &mut self.rng),
-            Event::ListMoved => self.list_refresh.moved(),
+            Event::ListSourceChanged => self.list_refresh.moved(),
             Event::Submit(message) => self.on_submit(now, message),
             Event::Resume(message, past) => self.on_resume(now, message, past, actions),
-            Event::Outcome(o) if self.set.reports => self.on_outcome(now, &o, actions),
+            Event::Outcome(o) if self.set.load_reports => self.on_outcome(now, &o, actions),
             // Nobody has promised that such figures mean what a report would.
-            Event::Outcome(o) => self.on_outcome(now, &Outcome { limit: None, left: None, ..o }, actions),
-            Event::Wait(receiver, wait) => self.note_wait(now, receiver, wait),
-            Event::Note(data) => self.on_note(now, &data),
+            Event::Outcome(o) => {
+                self.on_outcome(now, &Outcome { limit_per_s: None, remaining_share: None, ..o }, actions)
+            }
+            Event::RetryAfter(receiver, wait) => self.note_wait(now, receiver, wait),
+            Event::PeerHint(data) => self.on_note(now, &data),
             Event::Withdrawn(id) => self.close(id),
-            Event::Wake => self.wake_at = self.wake_at.filter(|t| *t > now),
+            Event::TimerFired => self.wake_at = self.wake_at.filter(|t| *t > now),
         }
     }
 
     /// The limit that an answer told. Where routes are not apart it is the whole destination's: an endpoint that has just
     /// been listed, or has said nothing yet, is not one of which nothing is known.
     pub(super) fn note_limit(&mut self, o: &Outcome) {
-        let told = o.limit.filter(|l| *l > 0.0);
+        let told = o.limit_per_s.filter(|l| *l > 0.0);
         let Some((r, told)) = self.receivers.get(&o.receiver).zip(told) else { return };
         let shared = self.destinations.get(&r.destination).filter(|_| !r.apart);
         let all = shared.map_or(vec![o.receiver], |d| d.receivers.clone());
@@ -119,7 +121,7 @@
     /// the receiver keeps it as well, for the time when routes become apart.
     pub(super) fn note_wait(&mut self, now: Micros, id: ReceiverId, wait: Micros) {
         let Some(r) = self.receivers.get_mut(&id).filter(|_| wait > Micros(0)) else { return };
-        let until = now.after(wait);
+        let until = now.plus(wait);
         r.pace.wait_until = r.pace.wait_until.max(until);
         if let Some(d) = self.destinations.get_mut(&r.destination).filter(|_| !r.apart) {
             d.pace.wait_until = d.pace.wait_until.max(until);
@@ -127,23 +129,23 @@
         self.agenda.look(r.destination, now); // what cannot outlast it ends at once
     }
 
-    pub(super) fn on_list(&mut self, entries: Vec<Entry>, whole: bool) {
+    pub(super) fn on_list(&mut self, entries: Vec<ListEntry>, whole: bool) {
         let mut touched = BTreeSet::new();
         if whole {
-            self.receivers.values_mut().for_each(|r| r.listing = Listing::Gone);
+            self.receivers.values_mut().for_each(|r| r.listing = EntryState::Gone);
         }
         for e in entries {
-            if e.listing == Listing::Gone && !self.receivers.contains_key(&e.receiver) {
+            if e.state == EntryState::Gone && !self.receivers.contains_key(&e.receiver) {
                 continue;
             }
             let kind = self.set.kinds.get(e.kind.0);
             let r = self.receivers.entry(e.receiver).or_insert_with(|| Receiver::new(&e, kind, NORM_START_S));
-            (r.listing, r.weight) = (e.listing, e.weight);
+            (r.listing, r.weight) = (e.state, e.weight);
             let d = self.destinations.entry(r.destination).or_default();
             // Routes that become apart, or one pace, keep the waits that were told before.
-            if e.listing != Listing::Gone && r.kind != e.kind {
-                (r.kind, r.apart) = (e.kind, kind.is_some_and(|k| k.apart));
-                r.batch = kind.map_or(1, |k| k.batch.max(1));
+            if e.state != EntryState::Gone && r.kind != e.kind {
+                (r.kind, r.apart) = (e.kind, kind.is_some_and(|k| k.separate_routes));
+                r.batch = kind.map_or(1, |k| k.messages_per_call.max(1));
                 if !r.apart {
                     d.pace.wait_until = r.told_until(d);
                 }
@@ -161,9 +163,9 @@
     pub(super) fn on_submit(&mut self, now: Micros, m: Message) {
         let known = self.held.contains_key(&m.id);
         let Some(class) = self.set.classes.get(m.class.0).filter(|_| !known) else { return };
-        let deadline = now.after(m.left);
-        let key = m.key.filter(|_| class.in_order);
-        let aim_at = now.after(class.aim.since(class.give_up.since(m.left)));
+        let deadline = now.plus(m.time_left);
+        let key = m.ordering_key.filter(|_| class.in_order);
+        let aim_at = now.plus(class.target_latency.since(class.give_up_after.since(m.time_left)));
         key.iter().for_each(|k| self.turns.join(k, m.id));
         let over_share = m.tenant.is_some_and(|t| self.over_share(now, t));
         let d = self.destinations.entry(m.destination).or_default();
@@ -178,13 +180,17 @@
     }
 
     /// A message of an earlier process: what it may have done there binds as if it were done here.
-    pub(super) fn on_resume(&mut self, now: Micros, m: Message, past: Past, actions: &mut Vec<Action>) {
+    pub(super) fn on_resume(
+        &mut self, now: Micros, m: Message, past: AttemptHistory, actions: &mut Vec<Action>,
+    ) {
         let id = m.id;
         self.on_submit(now, Message { tenant: None, ..m }); // its share was charged when it came
         let Some(held) = self.held.get_mut(&id) else { return };
-        (held.attempts, held.number, held.maybe_ran) = (past.attempts, past.attempts, past.maybe_ran);
+        (held.attempts, held.number, held.maybe_ran) =
+            (past.attempts, past.attempts, past.first_possible_run);
         held.untried = past.attempts == 0;
-        let lost = past.maybe_ran.is_some() && self.set.classes[held.class.0].effect == Effect::Unsafe;
+        let lost =
+            past.first_possible_run.is_some() && self.set.classes[held.class.0].effect == Effect::Unsafe;
         if lost || past.attempts >= held.max_attempts {
             self.end(now, id, None, actions);
         }
@@ -202,14 +208,14 @@
         if copy || !may {
             self.destinations.entry(m.destination).or_default().waiting.remove(&id);
         } else {
-            self.agenda.look(m.destination, now.after(Micros::from_secs(COPY_AFTER * r.slow_bar())));
+            self.agenda.look(m.destination, now.plus(Micros::from_secs(COPY_AFTER * r.slow_bar())));
         }
         self.copies = (self.copies + if copy { -1.0 } else { COPY_SHARE }).min(3.0); // so many at once
         if joins {
             return r.sends.back_mut().into_iter().for_each(|s| s.1 += EXTRA_WEIGHT);
         }
-        r.note_send(now, call, self.set.fall_window);
-        let new_connection = r.connections.take(now, self.set.connection_idle);
+        r.note_send(now, call, self.set.collapse_window);
+        let new_connection = r.connections.take(now, self.set.connection_idle_timeout);
         m.out.iter_mut().filter(|a| a.call == call).for_each(|a| a.new_connection = new_connection);
         if r.apart {
             r.pace.on_send(now);
@@ -224,8 +230,8 @@
         m.ended = true;
         if !m.out.is_empty() {
             // Of two copies the one that is still out holds a slot for nothing.
-            let copies = m.out.iter().filter(|_| self.set.cancel && self.set.second_copies);
-            self.called_off.extend(copies.map(|a| Action::CallOff { id, attempt: a.number }));
+            let copies = m.out.iter().filter(|_| self.set.allow_cancel && self.set.second_copies);
+            self.called_off.extend(copies.map(|a| Action::CancelAttempt { id, attempt: a.number }));
             return;
         }
         let next = m.key.as_ref().and_then(|k| self.turns.leave(k, id));
@@ -242,7 +248,7 @@
     pub fn in_question(&self) -> impl Iterator<Item = DestinationId> {
         let doubted = |d: &Destination| {
             let mut known = d.receivers.iter().filter_map(|r| self.receivers.get(r));
-            known.any(|r| r.listing == Listing::Ready && r.doubted(d))
+            known.any(|r| r.listing == EntryState::Ready && r.doubted(d))
         };
         self.destinations.iter().filter(move |(_, d)| doubted(d)).map(|(id, _)| *id)
     }
@@ -280,12 +286,12 @@
         if now < self.tidy_at {
             return;
         }
-        self.tidy_at = now.after(TIDY_EVERY);
+        self.tidy_at = now.plus(TIDY_EVERY);
         self.turns.tidy(now);
         // A receiver that leaves the list may come again: its told wait and health stay for a while.
         let idle =
             |r: &Receiver| r.sends.back().is_none_or(|s| now.since(s.0) > FORGET) && r.calls.is_empty();
-        self.receivers.retain(|_, r| r.listing != Listing::Gone || r.pace.wait_until > now || !idle(r));
+        self.receivers.retain(|_, r| r.listing != EntryState::Gone || r.pace.wait_until > now || !idle(r));
         for d in self.destinations.values_mut() {
             d.receivers.retain(|r| self.receivers.contains_key(r));
         }
@@ -294,14 +300,16 @@
     }
 
     /// Tells the other senders, so that a burst of them all counts as one; what is lost only makes it longer.
-    pub(super) fn tell(&mut self, now: Micros, receiver: ReceiverId, news: News, actions: &mut Vec<Action>) {
-        if news == News::Refused && now < self.tell_at {
+    pub(super) fn tell(
+        &mut self, now: Micros, receiver: ReceiverId, news: PeerHint, actions: &mut Vec<Action>,
+    ) {
+        if news == PeerHint::Refused && now < self.tell_at {
             return;
         }
-        if news == News::Refused {
+        if news == PeerHint::Refused {
             let every = self.scale.senders / NOTES_PER_S;
-            self.tell_at = now.after(Micros::from_secs(every.max(NOTE_GAP_S)));
+            self.tell_at = now.plus(Micros::from_secs(every.max(NOTE_GAP_S)));
         }
-        actions.push(Action::Tell(news.write(receiver)));
+        actions.push(Action::SendPeerHint(news.encode(receiver)));
     }
 }
--- a/src/policy/learning.rs
+++ b/src/policy/learning.rs
@@ -5,29 +5,29 @@
 impl PolicyEngine {
     /// What another found up was no colder than if it came back that moment. A late note only makes slower.
     pub(super) fn on_note(&mut self, now: Micros, data: &[u8]) {
-        let Some((id, news)) = News::read(data) else { return };
-        self.note_wait(now, id, if let News::Wait(wait) = news { wait } else { Micros(0) });
+        let Some((id, news)) = PeerHint::decode(data) else { return };
+        self.note_wait(now, id, if let PeerHint::RetryAfter(wait) = news { wait } else { Micros(0) });
         let Some(r) = self.receivers.get_mut(&id) else { return };
         let Some(d) = self.destinations.get_mut(&r.destination) else { return };
         let out_of_order = r.out_of_order(d);
         let pace = if r.apart { &mut r.pace } else { &mut d.pace };
         match news {
-            News::Refused => pace.note_refusal(now, self.scale),
-            News::Up if out_of_order => {
+            PeerHint::Refused => pace.note_refusal(now, self.scale),
+            PeerHint::Recovered if out_of_order => {
                 pace.doubt = Doubt { from: now, phase: self.rng.roll(), ..pace.doubt };
                 r.health = Health::Recovering { since: now };
                 self.agenda.look(r.destination, now);
             }
-            News::Wait(wait) => {
+            PeerHint::RetryAfter(wait) => {
                 pace.note_refusal(now, self.scale);
                 if wait >= LONG_WAIT && matches!(r.health, Health::Well | Health::Suspect { .. }) {
                     let phase = self.rng.roll() + 0.5;
-                    pace.doubt = Doubt { from: now.after(wait), phase, proven: r.last_proof };
+                    pace.doubt = Doubt { from: now.plus(wait), phase, proven: r.last_proof };
                     r.sicken(now, wait);
                     d.trouble_at = now;
                 }
             }
-            News::Up => {}
+            PeerHint::Recovered => {}
         }
     }
 
@@ -50,14 +50,14 @@
     }
 
     pub(super) fn on_outcome(&mut self, now: Micros, o: &Outcome, actions: &mut Vec<Action>) {
-        self.note_wait(now, o.receiver, o.wait()); // whoever the call belonged to
+        self.note_wait(now, o.receiver, o.retry_after()); // whoever the call belonged to
         let Some(m) = self.held.get_mut(&o.id) else { return };
         let of = |a: &Attempt| a.number == o.attempt && a.receiver == o.receiver;
         let Some(place) = m.out.iter().position(of) else { return };
         let attempt = m.out.remove(place);
         let may_have_run = o.verdict.may_have_run();
         if let Some(k) = m.key.as_ref().filter(|_| may_have_run && o.verdict != Verdict::Error) {
-            self.turns.rest(k, o.id, now.after(self.set.key_rest));
+            self.turns.rest(k, o.id, now.plus(self.set.key_cooldown));
         }
         if may_have_run {
             m.maybe_ran = m.maybe_ran.into_iter().chain([(attempt.sent, attempt.zone)]).min_by_key(|f| f.0);
@@ -72,7 +72,7 @@
         let over = m.ended || o.finished || o.verdict == Verdict::Delivered;
         let alone = m.out.is_empty();
         if let Some(pause) = self.pause_after(now, o) {
-            self.held.entry(o.id).and_modify(|m| m.not_before = now.after(pause));
+            self.held.entry(o.id).and_modify(|m| m.not_before = now.plus(pause));
         }
         let full_before = self.table_full(o.receiver);
         self.learn(now, o, &attempt, actions);
@@ -127,11 +127,11 @@
         let was_sick = r.sick();
         let overtaken = r.overtaken(attempt.sent, o.elapsed.secs());
         let pace = if r.apart { &mut r.pace } else { &mut d.pace };
-        if let Some(left) = o.left().filter(|_| told > 0.0) {
+        if let Some(left) = o.remaining_share().filter(|_| told > 0.0) {
             pace.spacing = Micros::from_secs((SPACING - SPACING_LEFT * left) / told).min(SPACING_MOST);
             pace.wary_until = NEVER;
             if matches!(o.verdict, Verdict::Full(_)) {
-                pace.breath = now.after(pace.spacing);
+                pace.breath = now.plus(pace.spacing);
             }
         }
         let mut tell = None;
@@ -145,7 +145,7 @@
         if (well || failed) && last && !was_sick {
             self.broad += BROAD * (f64::from(u8::from(failed)) - self.broad);
         }
-        let unseen = now.since(r.last_proof) > self.set.fall_window;
+        let unseen = now.since(r.last_proof) > self.set.collapse_window;
         match o.verdict {
             Verdict::TimedOut if overtaken => {}
             _ if !last => {} // messages of one call share its fate
@@ -157,12 +157,12 @@
                 pace.refused_run = 0;
                 r.connections.refused_run = 0;
                 r.on_delivery(now, attempt.sent, o.elapsed.secs(), trouble, &self.set);
-                tell = was_doubted.then_some(News::Up);
+                tell = was_doubted.then_some(PeerHint::Recovered);
             }
             Verdict::Full(wait) => {
                 let roll = Rng(self.rng.0 ^ now.0).roll(); // no draw: other chances stay as they were
                 let shut = pace.on_refusal(now, scale, told, o, roll);
-                tell = Some(wait.map_or(News::Refused, News::Wait));
+                tell = Some(wait.map_or(PeerHint::Refused, PeerHint::RetryAfter));
                 r.on_refusal(now, attempt.sent, o, shut, o.odd() && unseen);
             }
             Verdict::ConnectionLimit => {
@@ -176,17 +176,17 @@
         if !was_sick && r.sick() {
             d.trouble_at = now;
             let (receiver, destination) = (o.receiver, r.destination);
-            actions.push(Action::Sick { receiver, destination, verdict: o.verdict });
+            actions.push(Action::LogUnhealthy { receiver, destination, verdict: o.verdict });
         }
         // All that were told the same opening would meet there: each falls into a gap of its own after it.
-        if r.doubted(d) && (o.wait() > Micros(0) || !knew) {
+        if r.doubted(d) && (o.retry_after() > Micros(0) || !knew) {
             let proof = r.last_proof;
             let pace = if r.apart { &mut r.pace } else { &mut d.pace };
             let proven = if knew { pace.doubt.proven } else { proof };
             let phase = self.rng.roll() + if knew { 0.5 } else { 0.0 };
             pace.doubt = Doubt { from: now.max(pace.wait_until), phase, proven };
         }
-        if let Some(news) = tell.filter(|_| self.set.notes) {
+        if let Some(news) = tell.filter(|_| self.set.peer_hints) {
             self.tell(now, o.receiver, news, actions);
         }
     }
--- a/src/policy/pace.rs
+++ b/src/policy/pace.rs
@@ -19,15 +19,15 @@
         &mut self, now: Micros, scale: Scale, told: f64, o: &Outcome, roll: f64,
     ) -> bool {
         // Refused calls use the limit up: what all still send while each learns by itself keeps it used up.
-        if scale.fleet && o.left().is_none() && o.wait() < LONG_WAIT {
+        if scale.fleet && o.remaining_share().is_none() && o.retry_after() < LONG_WAIT {
             let breath = BREATH_S * f64::from(1u32 << self.refused_run.min(3));
-            self.breath = now.after(Micros::from_secs(breath * (0.5 + roll)));
+            self.breath = now.plus(Micros::from_secs(breath * (0.5 + roll)));
             let served = self.served.get(now, scale.served_memory).max(told).max(scale.floor);
-            (self.spacing, self.wary_until) = (Micros::from_secs(WARY / served), now.after(scale.burst_span));
+            (self.spacing, self.wary_until) = (Micros::from_secs(WARY / served), now.plus(scale.burst_span));
         }
         self.note_refusal(now, scale);
         self.told = told;
-        let least = if o.limit.is_some() { FLOOR_OF_TOLD } else { FLOOR_OF_LISTED };
+        let least = if o.limit_per_s.is_some() { FLOOR_OF_TOLD } else { FLOOR_OF_LISTED };
         self.floor = scale.floor.max(if self.woken { 0.0 } else { told * least });
         if let Some(c) = &mut self.control {
             c.refused += 1;
@@ -81,7 +81,7 @@
     pub(super) fn ready_at(&self, now: Micros) -> Micros {
         // Not beyond the next update, which may raise the rate.
         let gap = |c: &Control| Micros::from_secs((1.0 - c.tokens).max(0.0) / c.rate).min(UPDATE_EVERY);
-        now.after(self.control.as_ref().map_or(Micros(0), gap)).max(self.wait_until).max(self.breath)
+        now.plus(self.control.as_ref().map_or(Micros(0), gap)).max(self.wait_until).max(self.breath)
     }
     pub(super) fn on_send(&mut self, now: Micros) {
         if let Some(c) = &mut self.control {
@@ -89,7 +89,7 @@
             c.sent += 1;
         }
         if self.wary_until == NEVER || self.control.is_none() && now < self.wary_until {
-            self.breath = now.after(self.spacing);
+            self.breath = now.plus(self.spacing);
         }
     }
 }
--- a/src/policy/sending.rs
+++ b/src/policy/sending.rs
@@ -7,7 +7,7 @@
     /// has left untried goes before all: it has waited through a restart already.
     pub(super) fn urgency(&self, now: Micros, m: &Held, horizon: f64) -> f64 {
         let soon = if m.untried && m.out.is_empty() { f64::INFINITY } else { m.worth(&self.set, now) };
-        soon - m.worth(&self.set, now.after(Micros::from_secs(horizon))) + 0.3 * soon
+        soon - m.worth(&self.set, now.plus(Micros::from_secs(horizon))) + 0.3 * soon
     }
 
     /// Offers the messages of these destinations to the gates, most worth first. Returns when to look again.
@@ -47,9 +47,9 @@
         let paced = d.pace.control.as_ref().map_or(0.0, |c| c.soonest(*ahead));
         let hopeless = m.sends_end(&self.set, None).since(MARGIN);
         let listed = d.receivers.iter().filter_map(|r| self.receivers.get(r));
-        let told = listed.filter(|r| r.listing == Listing::Ready).map(|r| r.told_until(d)).min();
+        let told = listed.filter(|r| r.listing == EntryState::Ready).map(|r| r.told_until(d)).min();
         let wait = Micros::from_secs(paced).max(told.unwrap_or_default().since(now));
-        if now >= hopeless || now.after(wait) > m.deadline {
+        if now >= hopeless || now.plus(wait) > m.deadline {
             self.end(now, id, Some(wait).filter(|w| *w > Micros(0)), actions);
             return NEVER;
         }
@@ -68,7 +68,7 @@
         self.copy_open(now, m)?;
         let group = match (m.first(None), class.effect) {
             (Some(_), Effect::Unsafe) => return Err(NEVER),
-            (Some((_, zone)), Effect::Keyed { group: Group::Zone, .. }) => Some(zone),
+            (Some((_, zone)), Effect::Keyed { scope: DedupScope::Zone, .. }) => Some(zone),
             _ => None,
         };
         let d = self.destinations.get(&m.destination).ok_or(NEVER)?;
@@ -91,7 +91,7 @@
         };
         let patience = self.patience(now, m, target);
         self.commit(now, id, target, joined.is_some());
-        actions.push(Action::Send { id, receiver: target, patience });
+        actions.push(Action::Send { id, receiver: target, timeout: patience });
         Ok(())
     }
 
@@ -100,7 +100,7 @@
         let Some(first) = m.out.first() else { return Ok(()) };
         room(m.out.len() < 2 && self.set.second_copies && self.copies >= 1.0)?;
         let r = self.receivers.get(&first.receiver).ok_or(NEVER)?;
-        not_before(now, first.sent.after(Micros::from_secs(COPY_AFTER * r.slow_bar())))
+        not_before(now, first.sent.plus(Micros::from_secs(COPY_AFTER * r.slow_bar())))
     }
 
     /// The shared gates of a destination: told wait, pace, calls in flight.
@@ -122,7 +122,7 @@
         for id in &d.receivers {
             let Some(r) = self.receivers.get(id) else { continue };
             let out = m.out.iter().any(|a| a.receiver == *id);
-            if r.listing != Listing::Ready || out || group.is_some_and(|z| r.zone != z) {
+            if r.listing != EntryState::Ready || out || group.is_some_and(|z| r.zone != z) {
                 continue;
             }
             if let Err(at) = self.receiver_open(now, r, d, m.class) {
@@ -145,7 +145,7 @@
         let Some(r) = self.receivers.get(&target) else { return left };
         let wait = Micros::from_secs((PATIENCE_NORMS * r.norm).max(3.0 * r.latency)).max(PATIENCE_LEAST);
         let class = &self.set.classes[m.class.0];
-        let long = wait.max(Micros(class.give_up.0 / PATIENCE_PART));
+        let long = wait.max(Micros(class.give_up_after.0 / PATIENCE_PART));
         let wait = match class.effect {
             Effect::Unsafe => Micros::from_secs(wait.secs() * PATIENCE_UNSAFE),
             Effect::Safe => long,
@@ -161,12 +161,16 @@
 
     /// A call is about to leave: what was decided when it was queued is asked again, for it may have waited for its
     /// connection meanwhile. Whoever drains is the caller's to say, who knows when that was told.
-    pub fn leave(&self, now: Micros, id: MessageId, attempt: u32, to: ReceiverId) -> Leave {
-        let Some(m) = self.held.get(&id).filter(|m| !m.ended) else { return Leave::Over };
+    pub fn leave(&self, now: Micros, id: MessageId, attempt: u32, to: ReceiverId) -> SendRecheck {
+        let Some(m) = self.held.get(&id).filter(|m| !m.ended) else { return SendRecheck::MessageEnded };
         let out = m.out.iter().any(|a| a.number == attempt);
         let known = self.receivers.get(&to).zip(self.destinations.get(&m.destination));
-        let Some((r, d)) = known.filter(|_| out) else { return Leave::Over };
-        let late = if now < m.sends_end(&self.set, Some(attempt)) { Leave::Go } else { Leave::Late };
-        if now < r.told_until(d) { Leave::Wait } else { late }
+        let Some((r, d)) = known.filter(|_| out) else { return SendRecheck::MessageEnded };
+        let late = if now < m.sends_end(&self.set, Some(attempt)) {
+            SendRecheck::Allowed
+        } else {
+            SendRecheck::NoLongerAllowed
+        };
+        if now < r.told_until(d) { SendRecheck::WithinRetryAfter } else { late }
     }
 }
--- a/src/policy/tuning.rs
+++ b/src/policy/tuning.rs
@@ -91,8 +91,8 @@
 impl Scale {
     /// The values for the fleet that the settings tell of.
     pub(super) fn of(set: &Settings) -> Scale {
-        let senders = f64::from(set.senders.max(1));
-        let fleet = set.senders > FLEET && !set.notes;
+        let senders = f64::from(set.sender_count.max(1));
+        let fleet = set.sender_count > FLEET && !set.peer_hints;
         let span_most = if fleet { MEMORY_MOST_S } else { BURST_SPAN_MOST_S };
         let stretch = |secs: f64, most: f64| (secs * senders / FEW_SENDERS).clamp(secs, most);
         Scale {
--- a/src/state.rs
+++ b/src/state.rs
@@ -187,7 +187,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Receiver {
     pub destination: DestinationId,
-    pub listing: Listing,
+    pub listing: EntryState,
     pub kind: KindId,
     pub apart: bool,
     pub batch: u32,
@@ -212,12 +212,12 @@
 }
 
 impl Receiver {
-    pub fn new(e: &Entry, kind: Option<&KindSettings>, norm: f64) -> Receiver {
+    pub fn new(e: &ListEntry, kind: Option<&KindSettings>, norm: f64) -> Receiver {
         Receiver {
             destination: e.destination,
             kind: e.kind,
-            apart: kind.is_some_and(|k| k.apart),
-            batch: kind.map_or(1, |k| k.batch.max(1)),
+            apart: kind.is_some_and(|k| k.separate_routes),
+            batch: kind.map_or(1, |k| k.messages_per_call.max(1)),
             zone: e.zone,
             norm,
             latency: norm,
@@ -233,7 +233,7 @@
     }
     /// In the list, or with calls still out.
     pub fn here(&self) -> bool {
-        self.listing != Listing::Gone || !self.calls.is_empty()
+        self.listing != EntryState::Gone || !self.calls.is_empty()
     }
     pub fn sick(&self) -> bool {
         matches!(self.health, Health::Sick { .. })
@@ -243,7 +243,7 @@
         self.pace.wait_until.max(d.pace.wait_until)
     }
     pub fn sicken(&mut self, now: Micros, backoff: Micros) {
-        self.health = Health::Sick { since: now, trial_at: now.after(backoff), backoff };
+        self.health = Health::Sick { since: now, trial_at: now.plus(backoff), backoff };
     }
     /// Not known to be up and warm: it failed or refused, or a sibling did since it last proved itself.
     pub fn doubted(&self, d: &Destination) -> bool {
@@ -320,7 +320,7 @@
     pub fn sends_end(&self, set: &Settings, this: Option<u32>) -> Micros {
         match (self.first(this), set.classes[self.class.0].effect) {
             (Some((sent, _)), Effect::Keyed { window, .. }) => {
-                self.deadline.min(sent.after(window.since(HELD_UP)))
+                self.deadline.min(sent.plus(window.since(HELD_UP)))
             }
             _ => self.deadline,
         }
@@ -329,23 +329,27 @@
     pub fn may_refuse(&self, set: &Settings, now: Micros) -> bool {
         match (self.maybe_ran, set.classes[self.class.0].effect) {
             (None, _) | (_, Effect::Safe) => true,
-            (Some((sent, _)), Effect::Keyed { group: Group::All, window }) => now < sent.after(window),
+            (Some((sent, _)), Effect::Keyed { scope: DedupScope::Destination, window }) => {
+                now < sent.plus(window)
+            }
             (Some(_), _) => false,
         }
     }
     /// Worth if it were delivered at `at`, as the settings state it.
     pub fn worth(&self, set: &Settings, at: Micros) -> f64 {
         let c = &set.classes[self.class.0];
-        let full = if self.over_share { c.worth * set.over_share_worth } else { c.worth };
+        let full = if self.over_share { c.value * set.over_share_value } else { c.value };
         let late = at.since(self.aim_at).secs();
         if late <= 0.0 {
             return full;
         }
-        full * match set.fade {
-            Fade::Halves => (0.5f64).powf(late / c.aim.secs().max(1e-3)).max(c.late_share),
-            Fade::Line => {
+        full * match set.value_decay {
+            ValueDecay::Halving => {
+                (0.5f64).powf(late / c.target_latency.secs().max(1e-3)).max(c.late_value_share)
+            }
+            ValueDecay::Linear => {
                 let span = self.deadline.since(self.aim_at).secs().max(1e-3);
-                1.0 - (1.0 - c.late_share) * (late / span).min(1.0)
+                1.0 - (1.0 - c.late_value_share) * (late / span).min(1.0)
             }
         }
     }
--- a/tests/cold_ramp.rs
+++ b/tests/cold_ramp.rs
@@ -33,7 +33,7 @@
         let count = within().count() as f64;
         let knew = within().filter(|call| call.warned).count() as f64;
         // It warms evenly while the window passes.
-        let middle = begin.after(Micros(FALL_WINDOW.0 / 2));
+        let middle = begin.plus(Micros(FALL_WINDOW.0 / 2));
         let budget = FALL_MULTIPLE * scenario.capacity_per_s() * warmth(middle) * FALL_WINDOW.secs();
         let falls_at = budget + 2.0 * budget.sqrt() + 2.0;
         Window { part: if knew > KNEW * count { count / falls_at } else { 0.0 }, begin: *begin }
--- a/tests/common/fleet/mod.rs
+++ b/tests/common/fleet/mod.rs
@@ -118,12 +118,12 @@
             scenario,
         };
         for number in 0..fleet.senders.len() {
-            fleet.hand_in(number, Event::DiskList(fleet.scenario.list()));
+            fleet.hand_in(number, Event::PersistedList(fleet.scenario.list()));
         }
         fleet.schedule(START, Due::Arrival);
         if let Some(outage) = fleet.scenario.outage {
-            fleet.schedule(START.after(outage.from), Due::Down);
-            outage.until.iter().for_each(|until| fleet.schedule(START.after(*until), Due::Up));
+            fleet.schedule(START.plus(outage.from), Due::Down);
+            outage.until.iter().for_each(|until| fleet.schedule(START.plus(*until), Due::Up));
         }
         fleet
     }
@@ -136,7 +136,7 @@
     fn handle(&mut self, due: Due) {
         match due {
             Due::Arrival => self.arrive(),
-            Due::Wake(number) => self.hand_in(number, Event::Wake),
+            Due::Wake(number) => self.hand_in(number, Event::TimerFired),
             Due::End(id) => self.end_call(id),
             Due::IdleLimit(number, to, kept) => self.close_idle(number, to, |c| c.used == kept),
             Due::Down => self.first_endpoints().for_each(Endpoint::stop),
@@ -161,12 +161,12 @@
         policy.decide(self.now, &mut actions);
         for action in actions {
             match action {
-                Action::Send { id, receiver, patience } => self.call(number, id, receiver, patience),
-                Action::CloseIdle(to) => self.close_idle(number, to, |_| true),
-                Action::CallOff { id, attempt } => self.call_off((id, attempt)),
-                Action::WakeAfter(span) => self.schedule(self.now.after(span), Due::Wake(number)),
+                Action::Send { id, receiver, timeout: patience } => self.call(number, id, receiver, patience),
+                Action::CloseIdleConnections(to) => self.close_idle(number, to, |_| true),
+                Action::CancelAttempt { id, attempt } => self.call_off((id, attempt)),
+                Action::SetTimer(span) => self.schedule(self.now.plus(span), Due::Wake(number)),
                 Action::Refuse { id, .. } | Action::Fail(id) => self.give_up(id),
-                Action::Tell(_) | Action::Follow | Action::Sick { .. } => {}
+                Action::SendPeerHint(_) | Action::RequestList | Action::LogUnhealthy { .. } => {}
             }
         }
     }
@@ -185,7 +185,7 @@
         self.hand_in(number, Event::Submit(self.scenario.message(id, class, destination)));
         let gap = -(1.0 - self.traffic.random::<f64>()).ln()
             / (self.scenario.offered_per_s() * self.scenario.destinations as f64);
-        self.schedule(self.now.after(Micros::from_secs(gap)), Due::Arrival);
+        self.schedule(self.now.plus(Micros::from_secs(gap)), Due::Arrival);
     }
 
     fn draw_destination(&mut self) -> DestinationId {
@@ -223,14 +223,14 @@
         };
         let (verdict, takes) = match connection {
             Err(refused) => (refused, CONNECT_REFUSED),
-            Ok(_) => endpoint.serve(self.now.after(ready), work),
+            Ok(_) => endpoint.serve(self.now.plus(ready), work),
         };
         if connection.is_err() {
             self.report.connect_refused();
         } else if kept.is_none() {
             self.report.connected();
         }
-        let takes = ready.after(takes);
+        let takes = ready.plus(takes);
         let (verdict, takes) =
             if takes > patience { (Verdict::TimedOut, patience) } else { (verdict, takes) };
         let pending = self.pending.get_mut(&id).expect("only what is owed is sent");
@@ -238,7 +238,7 @@
         pending.attempts += 1;
         let connection = connection.ok();
         self.calls.insert((id, attempt), Call { sender: number, to, sent: self.now, verdict, connection });
-        self.schedule(self.now.after(takes), Due::End((id, attempt)));
+        self.schedule(self.now.plus(takes), Due::End((id, attempt)));
     }
 
     fn call_off(&mut self, id: CallId) {
@@ -278,15 +278,15 @@
             verdict,
             elapsed: self.now.since(call.sent),
             finished: delivered,
-            limit: None,
-            left: None,
+            limit_per_s: None,
+            remaining_share: None,
         };
         self.hand_in(call.sender, Event::Outcome(outcome));
     }
 
     fn keep(&mut self, number: usize, to: ReceiverId, connection: Connection) {
         self.senders[number].idle.entry(to).or_default().push(connection);
-        self.schedule(self.now.after(IDLE_LIMIT), Due::IdleLimit(number, to, connection.used));
+        self.schedule(self.now.plus(IDLE_LIMIT), Due::IdleLimit(number, to, connection.used));
     }
 
     fn close_idle(&mut self, number: usize, to: ReceiverId, which: impl Fn(&Connection) -> bool) {
--- a/tests/common/fleet/scenario.rs
+++ b/tests/common/fleet/scenario.rs
@@ -114,24 +114,24 @@
     }
 
     pub fn traffic_end(&self) -> Micros {
-        START.after(self.traffic)
+        START.plus(self.traffic)
     }
 
     /// When the last message must have ended.
     pub fn end(&self) -> Micros {
-        let longest = classes().iter().map(|c| c.give_up).max();
-        self.traffic_end().after(longest.unwrap_or_default()).after(Micros(1_000_000))
+        let longest = classes().iter().map(|c| c.give_up_after).max();
+        self.traffic_end().plus(longest.unwrap_or_default()).plus(Micros(1_000_000))
     }
 
     pub fn deadline(&self, class: usize) -> Micros {
-        classes()[class].give_up
+        classes()[class].give_up_after
     }
 
     /// What a message is worth when it is delivered after so long.
     pub fn worth(&self, class: usize, took: Micros) -> f64 {
         let c = &classes()[class];
-        let late = took.since(c.aim).secs() / c.give_up.since(c.aim).secs();
-        c.worth * (1.0 - (1.0 - c.late_share) * late.min(1.0))
+        let late = took.since(c.target_latency).secs() / c.give_up_after.since(c.target_latency).secs();
+        c.value * (1.0 - (1.0 - c.late_value_share) * late.min(1.0))
     }
 
     pub fn message(&self, id: MessageId, class: usize, destination: DestinationId) -> Message {
@@ -139,16 +139,16 @@
             id,
             class: ClassId(class),
             tenant: None,
-            key: None,
+            ordering_key: None,
             destination,
-            left: self.deadline(class),
+            time_left: self.deadline(class),
         }
     }
 
-    pub fn list(&self) -> Vec<Entry> {
-        let entry = |receiver| Entry {
+    pub fn list(&self) -> Vec<ListEntry> {
+        let entry = |receiver| ListEntry {
             receiver,
-            listing: Listing::Ready,
+            state: EntryState::Ready,
             destination: self.destination(receiver),
             kind: KindId(0),
             zone: ZoneId(0),
@@ -164,25 +164,25 @@
         let out = traffic * mean_secs(CALL);
         Settings {
             classes: classes(),
-            kinds: vec![KindSettings { apart: false, batch: 1 }],
+            kinds: vec![KindSettings { separate_routes: false, messages_per_call: 1 }],
             zone_fees: vec![0.0],
-            fade: Fade::Line,
-            over_share_worth: 1.0,
+            value_decay: ValueDecay::Linear,
+            over_share_value: 1.0,
             slots: (out * SLOTS_ROOM).ceil().max(SLOTS_LEAST) as u32,
             max_held: (traffic * HELD_S).ceil().max(HELD_LEAST) as u32,
             max_attempts: 6,
-            cancel: true,
-            reports: true,
-            senders: self.senders,
-            number,
+            allow_cancel: true,
+            load_reports: true,
+            sender_count: self.senders,
+            sender_index: number,
             max_retry_after: Micros(2_000_000),
             weights: self.weights,
-            fall_multiple: FALL_MULTIPLE,
-            fall_window: FALL_WINDOW,
-            cold_from: COLD_FROM,
-            warm_within: WARM_WITHIN,
-            connection_idle: IDLE_LIMIT,
-            ask_every: Micros(10_000_000),
+            collapse_multiple: FALL_MULTIPLE,
+            collapse_window: FALL_WINDOW,
+            cold_start_share: COLD_FROM,
+            warm_up_time: WARM_WITHIN,
+            connection_idle_timeout: IDLE_LIMIT,
+            list_poll_interval: Micros(10_000_000),
             ..Settings::default()
         }
     }
@@ -199,14 +199,14 @@
 
 /// One keyed class of long life, one safe class of short life, and one that must not be repeated.
 fn classes() -> Vec<ClassSettings> {
-    let keyed = Effect::Keyed { group: Group::Zone, window: Micros(12_000_000) };
+    let keyed = Effect::Keyed { scope: DedupScope::Zone, window: Micros(12_000_000) };
     let class = |effect, aim: u64, give_up: u64, worth, late_share| ClassSettings {
-        aim: Micros(aim * 1000),
-        give_up: Micros(give_up * 1000),
+        target_latency: Micros(aim * 1000),
+        give_up_after: Micros(give_up * 1000),
         effect,
         in_order: false,
-        worth,
-        late_share,
+        value: worth,
+        late_value_share: late_share,
     };
     vec![
         class(keyed, 2500, 28_000, 1.0, 0.3),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -14,56 +14,63 @@
 }
 
 fn class(effect: Effect, in_order: bool) -> ClassSettings {
-    ClassSettings { aim: ms(1000), give_up: ms(20_000), effect, in_order, worth: 1.0, late_share: 0.2 }
+    ClassSettings {
+        target_latency: ms(1000),
+        give_up_after: ms(20_000),
+        effect,
+        in_order,
+        value: 1.0,
+        late_value_share: 0.2,
+    }
 }
 
 pub fn settings() -> Settings {
-    let keyed = |group| Effect::Keyed { group, window: ms(5000) };
+    let keyed = |group| Effect::Keyed { scope: group, window: ms(5000) };
     Settings {
         classes: vec![
             class(Effect::Safe, false),
-            class(keyed(Group::All), true),
+            class(keyed(DedupScope::Destination), true),
             class(Effect::Unsafe, false),
-            class(keyed(Group::Zone), false),
+            class(keyed(DedupScope::Zone), false),
         ],
         tenants: Vec::new(),
         kinds: vec![
-            KindSettings { apart: false, batch: 1 },
-            KindSettings { apart: true, batch: 1 },
-            KindSettings { apart: false, batch: 4 },
+            KindSettings { separate_routes: false, messages_per_call: 1 },
+            KindSettings { separate_routes: true, messages_per_call: 1 },
+            KindSettings { separate_routes: false, messages_per_call: 4 },
         ],
         zone_fees: vec![0.0, 0.0],
-        fade: Fade::Halves,
-        over_share_worth: 0.1,
+        value_decay: ValueDecay::Halving,
+        over_share_value: 0.1,
         slots: 16,
         max_held: 200,
         max_attempts: 6,
         second_copies: false,
-        cancel: true,
-        reports: true,
-        senders: 2,
-        number: 0,
-        retry_after: true,
+        allow_cancel: true,
+        load_reports: true,
+        sender_count: 2,
+        sender_index: 0,
+        send_retry_after: true,
         max_retry_after: ms(3000),
-        subscribe: false,
+        subscribe_to_list: false,
         weights: Weights::Nominal,
-        key_rest: ms(100),
-        fall_multiple: 1.5,
-        fall_window: ms(1500),
-        cold_from: 0.25,
-        warm_within: ms(10_000),
-        ask_every: ms(10_000),
-        connection_idle: ms(10_000),
-        notes: true,
+        key_cooldown: ms(100),
+        collapse_multiple: 1.5,
+        collapse_window: ms(1500),
+        cold_start_share: 0.25,
+        warm_up_time: ms(10_000),
+        list_poll_interval: ms(10_000),
+        connection_idle_timeout: ms(10_000),
+        peer_hints: true,
         probe_class: None,
-        hold_back: Micros(0),
+        message_probe_delay: Micros(0),
     }
 }
 
-pub fn entry(receiver: u64, destination: u64, kind: usize, zone: usize) -> Entry {
-    Entry {
+pub fn entry(receiver: u64, destination: u64, kind: usize, zone: usize) -> ListEntry {
+    ListEntry {
         receiver: ReceiverId(receiver),
-        listing: Listing::Ready,
+        state: EntryState::Ready,
         destination: DestinationId(destination),
         kind: KindId(kind),
         zone: ZoneId(zone),
@@ -95,7 +102,7 @@
 }
 
 impl Rig {
-    pub fn new(settings: Settings, entries: Vec<Entry>) -> Rig {
+    pub fn new(settings: Settings, entries: Vec<ListEntry>) -> Rig {
         let policy = PolicyEngine::new(settings, 7);
         let mut rig = Rig {
             policy,
@@ -110,7 +117,7 @@
             called_off: vec![],
             attempts: Default::default(),
         };
-        rig.event(Event::DiskList(entries));
+        rig.event(Event::PersistedList(entries));
         rig
     }
     /// Hands in one event and lets the policy decide.
@@ -123,7 +130,7 @@
     pub fn carry_out(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send { id, receiver, patience } => {
+                Action::Send { id, receiver, timeout: patience } => {
                     let n = self.attempts.entry(id.0).or_insert(0);
                     let sent = Sent { id: id.0, attempt: *n, receiver: receiver.0, at: self.now, patience };
                     *n += 1;
@@ -132,20 +139,20 @@
                 }
                 Action::Refuse { id, retry_after } => self.refused.push((id.0, retry_after)),
                 Action::Fail(id) => self.failed.push(id.0),
-                Action::Follow => self.follows += 1,
-                Action::CloseIdle(id) => self.closed.push(id.0),
-                Action::Tell(data) => self.told.push(data),
-                Action::CallOff { id, attempt } => self.called_off.push((id.0, attempt)),
-                Action::WakeAfter(_) | Action::Sick { .. } => {}
+                Action::RequestList => self.follows += 1,
+                Action::CloseIdleConnections(id) => self.closed.push(id.0),
+                Action::SendPeerHint(data) => self.told.push(data),
+                Action::CancelAttempt { id, attempt } => self.called_off.push((id.0, attempt)),
+                Action::SetTimer(_) | Action::LogUnhealthy { .. } => {}
             }
         }
     }
     /// Lets time pass in steps, waking the policy at each.
     pub fn pass(&mut self, span: Micros) {
-        let end = self.now.after(span);
+        let end = self.now.plus(span);
         while self.now < end {
-            self.now = self.now.after(ms(10)).min(end);
-            self.event(Event::Wake);
+            self.now = self.now.plus(ms(10)).min(end);
+            self.event(Event::TimerFired);
         }
     }
     pub fn submit(&mut self, id: u64, class: usize, destination: u64) {
@@ -156,9 +163,9 @@
             id: MessageId(id),
             class: ClassId(class),
             tenant: None,
-            key: key.map(str::to_owned),
+            ordering_key: key.map(str::to_owned),
             destination: DestinationId(destination),
-            left,
+            time_left: left,
         }));
     }
     /// The outcome of the call that is out for a message. `finished` as the world would say it.
@@ -176,8 +183,8 @@
             verdict,
             elapsed: self.now.since(sent.at),
             finished: verdict == Verdict::Delivered,
-            limit: left.map(|_| 10.0),
-            left,
+            limit_per_s: left.map(|_| 10.0),
+            remaining_share: left,
         }));
     }
     /// Delivers `count` messages to a destination, one by one, so that its receivers are known as well.
--- a/tests/copies.rs
+++ b/tests/copies.rs
@@ -4,14 +4,14 @@
 use common::*;
 use onyxrock::interface::*;
 
-fn copied(entries: Vec<Entry>) -> Rig {
+fn copied(entries: Vec<ListEntry>) -> Rig {
     // The first is the faster one, so it is where a message goes.
-    let mut rig = Rig::new(Settings { second_copies: true, notes: false, ..settings() }, entries);
+    let mut rig = Rig::new(Settings { second_copies: true, peer_hints: false, ..settings() }, entries);
     rig.warm(1000, 80, 1);
     rig
 }
 
-fn two() -> Vec<Entry> {
+fn two() -> Vec<ListEntry> {
     vec![entry(1, 1, 0, 0), entry(2, 1, 0, 0)]
 }
 
@@ -37,7 +37,7 @@
 #[test]
 fn a_copy_goes_only_where_settings_class_and_receivers_allow_it() {
     let mut forbidden = copied(two());
-    forbidden.policy = onyxrock::PolicyEngine::new(Settings { notes: false, ..settings() }, 7);
+    forbidden.policy = onyxrock::PolicyEngine::new(Settings { peer_hints: false, ..settings() }, 7);
     forbidden.event(Event::FullList(two()));
     forbidden.warm(2000, 80, 1);
     assert_eq!(hangs(&mut forbidden, SAFE).len(), 1, "the settings allow one");
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -12,10 +12,10 @@
     log: Vec<Record>,
 }
 
-fn names() -> Names {
+fn names() -> NameIndex {
     let named = |all: &[(&str, usize)]| all.iter().map(|(n, i)| ((*n).to_owned(), *i)).collect();
     let classes = named(&[("safe", SAFE), ("unsafe", UNSAFE), ("zoned", ZONED)]);
-    Names { classes, zones: named(&[("a", 0), ("b", 1)]), ..Names::default() }
+    NameIndex { classes, zones: named(&[("a", 0), ("b", 1)]), ..NameIndex::default() }
 }
 
 impl Table {
@@ -23,31 +23,31 @@
         let plain = plain.iter().map(|d| DestinationId(*d)).collect();
         let mut ledger = Ledger::new(settings(), names(), plain, 5);
         let list = vec![entry(1, 1, 0, 0), entry(2, 1, 0, 1)];
-        ledger.list(ms(1000), Event::FullList(list));
+        ledger.on_list_event(ms(1000), Event::FullList(list));
         Table { ledger, now: ms(1000), log: Vec::new() }
     }
     fn take(&mut self, class: &str, left: u64) -> u64 {
-        let n = self.ledger.number();
-        let deadline = self.now.after(ms(left));
-        let taken = Taken {
-            n,
-            id: format!("m{n}"),
+        let n = self.ledger.allocate_number();
+        let deadline = self.now.plus(ms(left));
+        let taken = AcceptedMessage {
+            number: n,
+            request_id: format!("m{n}"),
             class: class.into(),
             destination: 1,
             deadline,
-            ..Taken::default()
+            ..AcceptedMessage::default()
         };
-        self.log.push(Record::Taken(taken.clone()));
-        self.ledger.take(self.now, taken);
+        self.log.push(Record::Accepted(taken.clone()));
+        self.ledger.accept(self.now, taken);
         n
     }
-    fn steps(&mut self) -> Vec<Step> {
+    fn steps(&mut self) -> Vec<LedgerAction> {
         let mut steps = Vec::new();
         self.ledger.decide(self.now, true, &mut steps);
-        steps.retain(|s| !matches!(s, Step::Sick { .. }));
+        steps.retain(|s| !matches!(s, LedgerAction::LogUnhealthy { .. }));
         for s in &steps {
-            if let Step::End { n, end } = s {
-                self.log.push(Record::Given { n: *n, end: *end });
+            if let LedgerAction::ReportFinalStatus { number: n, status: end } = s {
+                self.log.push(Record::FinalStatus { number: *n, status: *end });
             }
         }
         steps
@@ -55,35 +55,35 @@
     /// Writes the call that the last steps ask for.
     fn call(&mut self) -> (u64, u32, ReceiverId) {
         let call = self.steps().into_iter().find_map(|s| match s {
-            Step::Call { n, attempt, to, .. } => Some((n, attempt, to)),
+            LedgerAction::Call { number: n, attempt, receiver: to, .. } => Some((n, attempt, to)),
             _ => None,
         });
         let call = call.expect("a call is asked for");
         let zone = if call.2 == ReceiverId(1) { "a" } else { "b" };
-        self.log.extend(self.ledger.attempt(call.0, call.1, "e", zone, self.now));
+        self.log.extend(self.ledger.begin_attempt(call.0, call.1, "e", zone, self.now));
         call
     }
     fn answer(&mut self, (n, attempt, to): (u64, u32, ReceiverId), verdict: Verdict) {
         let elapsed = ms(100);
-        self.now = self.now.after(elapsed);
-        let a = Answered {
-            n,
+        self.now = self.now.plus(elapsed);
+        let a = AttemptOutcome {
+            number: n,
             attempt,
-            to,
+            receiver: to,
             verdict,
             elapsed,
             finished: false,
-            limit: (None, None),
-            told: Micros(0),
+            load_report: (None, None),
+            wait_until: Micros(0),
         };
-        self.log.extend(self.ledger.answered(self.now, &a));
+        self.log.extend(self.ledger.end_attempt(self.now, &a));
     }
     /// Another process, from what the log holds.
     fn restart(&mut self, pause: u64, plain: &[u64]) -> usize {
         let mut bytes = Vec::new();
         self.log.iter().for_each(|r| r.write(&mut bytes));
-        let owed = recover(frames(&bytes).records);
-        let (now, log) = (self.now.after(ms(pause)), std::mem::take(&mut self.log));
+        let owed = recover(scan_log(&bytes).records);
+        let (now, log) = (self.now.plus(ms(pause)), std::mem::take(&mut self.log));
         *self = Table { now, log, ..Table::new(plain) };
         let count = owed.len();
         for o in owed.into_values() {
@@ -91,15 +91,15 @@
         }
         count
     }
-    fn ends(&mut self, span: u64) -> Vec<(u64, End)> {
+    fn ends(&mut self, span: u64) -> Vec<(u64, FinalStatus)> {
         let mut ends = Vec::new();
         for _ in 0..span / 10 {
             let steps = self.steps();
             ends.extend(steps.iter().filter_map(|s| match s {
-                Step::End { n, end } => Some((*n, *end)),
+                LedgerAction::ReportFinalStatus { number: n, status: end } => Some((*n, *end)),
                 _ => None,
             }));
-            self.now = self.now.after(ms(10));
+            self.now = self.now.plus(ms(10));
         }
         ends
     }
@@ -111,7 +111,7 @@
     t.take("safe", 5000);
     let call = t.call();
     t.answer(call, Verdict::Delivered);
-    assert_eq!((t.ledger.held(), t.ledger.owed().count()), (0, 0));
+    assert_eq!((t.ledger.held_count(), t.ledger.open_messages().count()), (0, 0));
     assert_eq!(t.restart(100, &[]), 0);
 }
 
@@ -121,7 +121,7 @@
     let n = t.take("unsafe", 20_000);
     t.call();
     assert_eq!(t.restart(700, &[]), 1);
-    assert_eq!(t.steps(), [Step::End { n, end: End::Failed }]);
+    assert_eq!(t.steps(), [LedgerAction::ReportFinalStatus { number: n, status: FinalStatus::Failed }]);
 }
 
 #[test]
@@ -146,7 +146,7 @@
     let n = t.take("zoned", 20_000);
     t.call();
     t.restart(5000, &[]);
-    assert_eq!(t.steps(), [Step::End { n, end: End::Failed }]);
+    assert_eq!(t.steps(), [LedgerAction::ReportFinalStatus { number: n, status: FinalStatus::Failed }]);
 }
 
 #[test]
@@ -155,7 +155,7 @@
     let n = t.take("zoned", 20_000);
     let call = t.call();
     t.answer(call, Verdict::Reset);
-    assert_eq!(t.ends(100), [(n, End::Failed)]);
+    assert_eq!(t.ends(100), [(n, FinalStatus::Failed)]);
 }
 
 #[test]
@@ -164,27 +164,27 @@
     let n = t.take("unsafe", 20_000);
     let call = t.call();
     t.answer(call, Verdict::Error);
-    assert_eq!(t.ends(10), [(n, End::Failed)]);
+    assert_eq!(t.ends(10), [(n, FinalStatus::Failed)]);
     let mut bytes = Vec::new();
     t.log.iter().for_each(|r| r.write(&mut bytes));
-    let owed = recover(frames(&bytes).records);
-    assert_eq!(owed[&n].given, Some(End::Failed));
+    let owed = recover(scan_log(&bytes).records);
+    assert_eq!(owed[&n].final_status, Some(FinalStatus::Failed));
     t.restart(10, &[]);
-    assert_eq!((t.ends(3000), t.ledger.held()), (vec![], 0), "it is not decided on again");
-    t.ledger.over(n);
-    assert_eq!(t.ledger.owed().count(), 0);
+    assert_eq!((t.ends(3000), t.ledger.held_count()), (vec![], 0), "it is not decided on again");
+    t.ledger.close(n);
+    assert_eq!(t.ledger.open_messages().count(), 0);
 }
 
 #[test]
 fn a_client_that_wants_a_receipt_is_told_of_the_delivery() {
     let mut t = Table::new(&[]);
     let n = t.take("safe", 5000);
-    let Some(Record::Taken(taken)) = t.log.first().cloned() else { panic!("it is in the log") };
+    let Some(Record::Accepted(taken)) = t.log.first().cloned() else { panic!("it is in the log") };
     t.ledger.withdraw(t.now, n);
-    t.ledger.take(t.now, Taken { receipt: true, n: n + 1, ..taken });
+    t.ledger.accept(t.now, AcceptedMessage { wants_receipt: true, number: n + 1, ..taken });
     let call = (n + 1, 0, t.call().2);
     t.answer(call, Verdict::Delivered);
-    assert_eq!(t.ends(10), [(n + 1, End::Delivered)]);
+    assert_eq!(t.ends(10), [(n + 1, FinalStatus::Delivered)]);
 }
 
 #[test]
@@ -192,27 +192,27 @@
     let mut t = Table::new(&[]);
     let n = t.take("safe", 5000);
     let steps = t.steps();
-    assert!(matches!(steps[0], Step::Call { .. }));
+    assert!(matches!(steps[0], LedgerAction::Call { .. }));
     t.ledger.withdraw(t.now, n);
-    assert_eq!(t.ledger.attempt(n, 0, "e", "a", t.now), Err(AttemptRefused::Over));
+    assert_eq!(t.ledger.begin_attempt(n, 0, "e", "a", t.now), Err(AttemptDenied::NotOpen));
 }
 
 /// Whatever the module decides, an attempt that the class does not allow to be repeated is refused by what the log knows.
 #[rstest]
-#[case::once("unsafe", "a", 0, Err(AttemptRefused::Repeat))]
+#[case::once("unsafe", "a", 0, Err(AttemptDenied::RepeatForbidden))]
 #[case::safe("safe", "b", 9_000, Ok(()))]
 #[case::same_zone("zoned", "a", 1_000, Ok(()))]
-#[case::other_zone("zoned", "b", 1_000, Err(AttemptRefused::Repeat))]
-#[case::window_over("zoned", "a", 900_000, Err(AttemptRefused::Repeat))]
+#[case::other_zone("zoned", "b", 1_000, Err(AttemptDenied::RepeatForbidden))]
+#[case::window_over("zoned", "a", 900_000, Err(AttemptDenied::RepeatForbidden))]
 fn a_repeat_that_the_class_does_not_allow_is_refused(
-    #[case] class: &str, #[case] zone: &str, #[case] later: u64, #[case] says: Result<(), AttemptRefused>,
+    #[case] class: &str, #[case] zone: &str, #[case] later: u64, #[case] says: Result<(), AttemptDenied>,
 ) {
     let mut t = Table::new(&[]);
     let n = t.take(class, 20_000);
     let (_, attempt, to) = t.call();
     t.answer((n, attempt, to), Verdict::Reset);
-    let at = t.now.after(ms(later));
-    let again = t.ledger.attempt(n, 1, "e", zone, at).map(drop);
+    let at = t.now.plus(ms(later));
+    let again = t.ledger.begin_attempt(n, 1, "e", zone, at).map(drop);
     assert_eq!(again, says);
 }
 
@@ -222,38 +222,38 @@
 fn a_clock_that_was_set_back_opens_no_window_and_gives_no_time() {
     let mut before = Table::new(&[]);
     let hour = ms(3_600_000);
-    before.now = before.now.after(hour).after(hour);
+    before.now = before.now.plus(hour).plus(hour);
     let n = before.take("zoned", 9_000);
     let tried = before.call();
     before.answer(tried, Verdict::Reset);
     let owed = recover(before.log).remove(&n).expect("it is owed");
     let mut after = Table::new(&[]);
-    after.now = after.now.after(hour);
+    after.now = after.now.plus(hour);
     after.ledger.resume(after.now, owed);
     let steps = after.steps();
-    assert!(!steps.iter().any(|s| matches!(s, Step::Call { .. })), "{steps:?}");
+    assert!(!steps.iter().any(|s| matches!(s, LedgerAction::Call { .. })), "{steps:?}");
     let owed = after.ledger.get(n).expect("it is owed still");
-    assert!(owed.taken.deadline <= after.ledger.latest(after.now, "zoned"));
-    assert!(after.ledger.attempt(n, 1, "e", "a", after.now).is_err());
+    assert!(owed.accepted.deadline <= after.ledger.latest_deadline(after.now, "zoned"));
+    assert!(after.ledger.begin_attempt(n, 1, "e", "a", after.now).is_err());
 }
 
 #[test]
 fn damage_costs_only_the_records_that_it_hits() {
-    let over = |n| Record::Over(n);
+    let over = |n| Record::Closed(n);
     let mut bytes = Vec::new();
     (1..=3).for_each(|n| over(n).write(&mut bytes));
     let one = bytes.len() / 3;
     for cut in 0..one {
-        let scan = frames(&bytes[..2 * one + cut]);
-        assert_eq!((scan.records, scan.damaged), (vec![over(1), over(2)], cut), "a torn tail");
+        let scan = scan_log(&bytes[..2 * one + cut]);
+        assert_eq!((scan.records, scan.damaged_bytes), (vec![over(1), over(2)], cut), "a torn tail");
     }
     for hit in 0..one {
         let mut bad = bytes.clone();
         bad[one + hit] ^= 0x55;
-        let scan = frames(&bad);
-        assert_eq!((scan.records, scan.damaged), (vec![over(1), over(3)], one), "a bad byte");
+        let scan = scan_log(&bad);
+        assert_eq!((scan.records, scan.damaged_bytes), (vec![over(1), over(3)], one), "a bad byte");
     }
-    assert_eq!(frames(&[0xa7; 64]).damaged, 64);
+    assert_eq!(scan_log(&[0xa7; 64]).damaged_bytes, 64);
 }
 
 #[test]
@@ -268,16 +268,16 @@
     }
     t.ends(10);
     t.take("unsafe", 20_000);
-    t.now = t.now.after(ms(3000));
+    t.now = t.now.plus(ms(3000));
     t.call();
     let read = |records: &[Record]| {
         let mut bytes = Vec::new();
         records.iter().for_each(|r| r.write(&mut bytes));
-        recover(frames(&bytes).records)
+        recover(scan_log(&bytes).records)
     };
-    let compact: Vec<Record> = t.ledger.owed().flat_map(Owed::records).collect();
+    let compact: Vec<Record> = t.ledger.open_messages().flat_map(OpenMessage::records).collect();
     assert_eq!(read(&t.log), read(&compact));
-    assert_eq!(t.ledger.owed().count(), 4);
+    assert_eq!(t.ledger.open_messages().count(), 4);
 }
 
 /// An id is refused for as long as its request could still run, and no longer: what is kept of ids has a bound.
@@ -296,27 +296,32 @@
 /// its group bind a repeat.
 #[test]
 fn of_two_attempts_out_at_death_the_earlier_binds() {
-    let taken = Taken { n: 1, class: "zoned".into(), destination: 1, ..Taken::default() };
+    let taken =
+        AcceptedMessage { number: 1, class: "zoned".into(), destination: 1, ..AcceptedMessage::default() };
     let attempt = |attempt, at, zone: &str| Record::Attempt {
-        n: 1,
+        number: 1,
         attempt,
         endpoint: "e".into(),
         zone: zone.into(),
         at: ms(at),
     };
-    for end in [CallEnd::NeverRan, CallEnd::MayHaveRun] {
-        let mut log = vec![Record::Taken(taken.clone()), attempt(0, 100, "a"), attempt(1, 200, "b")];
-        log.push(Record::Outcome { n: 1, attempt: 1, end });
+    for end in [AttemptStatus::NeverRan, AttemptStatus::MayHaveRun] {
+        let mut log = vec![Record::Accepted(taken.clone()), attempt(0, 100, "a"), attempt(1, 200, "b")];
+        log.push(Record::Outcome { number: 1, attempt: 1, status: end });
         let owed = recover(log).remove(&1).unwrap();
-        assert_eq!((owed.attempts, owed.maybe_ran.clone()), (2, Some((ms(100), "a".to_owned()))), "{end:?}");
+        assert_eq!(
+            (owed.attempts, owed.first_possible_run.clone()),
+            (2, Some((ms(100), "a".to_owned()))),
+            "{end:?}"
+        );
         // As a new log would say it.
         assert_eq!(recover(owed.records()).remove(&1), Some(owed));
     }
     // Both out: the new log has each, and a log of before copies, which names no attempts, is read as it was meant.
-    let mut owed = Owed { taken, ..Owed::default() };
+    let mut owed = OpenMessage { accepted: taken, ..OpenMessage::default() };
     for record in [attempt(0, 100, "a"), attempt(1, 200, "b")] {
         owed.apply(&record);
     }
     let again = recover(owed.records()).remove(&1).unwrap();
-    assert_eq!((again.attempts, again.maybe_ran), (2, Some((ms(100), "a".to_owned()))));
+    assert_eq!((again.attempts, again.first_possible_run), (2, Some((ms(100), "a".to_owned()))));
 }
--- a/tests/fail_back.rs
+++ b/tests/fail_back.rs
@@ -10,13 +10,13 @@
 const OUTAGE: u64 = 16_000; // ms
 
 fn many() -> Settings {
-    Settings { senders: SENDERS, ..settings() }
+    Settings { sender_count: SENDERS, ..settings() }
 }
 
 /// What the rule allows in a window at a cold destination.
 fn allowed() -> f64 {
     let s = many();
-    s.fall_multiple * s.cold_from * CAPACITY * s.fall_window.secs()
+    s.collapse_multiple * s.cold_start_share * CAPACITY * s.collapse_window.secs()
 }
 
 /// Plays the outage for one sender that always has messages waiting. Its calls in the window after the return.
@@ -25,10 +25,10 @@
     left: Option<f64>,
 ) -> usize {
     let listed: Vec<_> =
-        (1..=receivers).map(|r| Entry { weight: CAPACITY, ..entry(r, 1, kind, 0) }).collect();
+        (1..=receivers).map(|r| ListEntry { weight: CAPACITY, ..entry(r, 1, kind, 0) }).collect();
     let mut rig = Rig::new(set.clone(), listed.clone());
     rig.policy = PolicyEngine::new(set.clone(), u64::from(seed));
-    rig.event(Event::DiskList(listed));
+    rig.event(Event::PersistedList(listed));
     rig.pass(ms(20_000));
     let start = rig.now;
     let mut id = 1;
@@ -45,7 +45,7 @@
         rig.pass(ms(10));
     }
     let back = rig.sent.len();
-    rig.pass(many().fall_window);
+    rig.pass(many().collapse_window);
     rig.sent.len() - back
 }
 
@@ -54,7 +54,7 @@
     let of = |set: Settings| -> usize {
         (0..SENDERS).map(|seed| calls_after_return(&set, seed, receivers, kind, outcome, left)).sum()
     };
-    of(many()).max(of(Settings { notes: false, ..many() })) as f64
+    of(many()).max(of(Settings { peer_hints: false, ..many() })) as f64
 }
 
 #[test]
@@ -109,7 +109,7 @@
     rig.pass(ms(60_000));
     rig.submit(1, SAFE, 1);
     rig.answer(1, Verdict::ConnectFailed);
-    rig.event(Event::Note(note.to_vec()));
+    rig.event(Event::PeerHint(note.to_vec()));
     rig.pass(ms(11_000));
     rig.sends_of(1) > 1
 }
@@ -135,7 +135,7 @@
 
 #[test]
 fn messages_that_share_a_call_count_at_a_returning_destination() {
-    let mut rig = Rig::new(Settings { senders: 1, ..settings() }, vec![entry(1, 1, 2, 0)]);
+    let mut rig = Rig::new(Settings { sender_count: 1, ..settings() }, vec![entry(1, 1, 2, 0)]);
     let first: Vec<u64> = (1..4).collect();
     first.iter().for_each(|id| rig.submit(*id, SAFE, 1));
     rig.pass(ms(200));
@@ -164,7 +164,7 @@
 /// On sockets its messages waited for their end while it was back; in this play, where calls fail at once, it is sent 271.
 #[test]
 fn where_nothing_is_known_what_is_asked_for_bounds_the_way_back() {
-    let set = Settings { weights: Weights::Off, notes: false, ..settings() };
+    let set = Settings { weights: Weights::Off, peer_hints: false, ..settings() };
     let mut rig = Rig::new(set, vec![entry(1, 1, 0, 0), entry(2, 1, 0, 0)]);
     let mut id = 0;
     let mut second = |rig: &mut Rig, verdict: Verdict| {
--- a/tests/fleet_restart.rs
+++ b/tests/fleet_restart.rs
@@ -14,7 +14,7 @@
 
 struct Fixture {
     settings: Settings,
-    names: Names,
+    names: NameIndex,
     /// Class name, its share of traffic in hundredths and the time a receiver takes for it.
     mix: Vec<(&'static str, u64, u64)>,
     /// Calls that each destination takes in one span, and the span.
@@ -22,12 +22,12 @@
 }
 
 /// Classes by their place in the mix; endpoints of even number are in zone "a", the others in "b".
-fn names(mix: &[(&'static str, u64, u64)]) -> Names {
+fn names(mix: &[(&'static str, u64, u64)]) -> NameIndex {
     let named = |all: Vec<&str>| all.into_iter().enumerate().map(|(i, n)| (n.to_owned(), i)).collect();
-    Names {
+    NameIndex {
         classes: named(mix.iter().map(|c| c.0).collect()),
         zones: named(vec!["a", "b"]),
-        ..Names::default()
+        ..NameIndex::default()
     }
 }
 
@@ -35,30 +35,30 @@
 fn first() -> Fixture {
     let mix = vec![("safe", 40, 120), ("keyed", 20, 120), ("unsafe", 20, 120), ("zoned", 20, 120)];
     let names = names(&mix);
-    let settings = Settings { senders: SENDERS as u32, slots: 12, max_held: 80, ..settings() };
+    let settings = Settings { sender_count: SENDERS as u32, slots: 12, max_held: 80, ..settings() };
     Fixture { settings, names, mix, limit: (6, 1000) }
 }
 
 /// The second: reports, no notes, second copies; keyed events of worth 1 and heavier status that is safe to repeat.
 fn second() -> Fixture {
     let mix = vec![("order-event", 80, 100), ("tile-status", 20, 250)];
-    let keyed = Effect::Keyed { group: Group::All, window: ms(5000) };
+    let keyed = Effect::Keyed { scope: DedupScope::Destination, window: ms(5000) };
     let class = |effect, aim, give_up, worth| ClassSettings {
-        aim: ms(aim),
-        give_up: ms(give_up),
+        target_latency: ms(aim),
+        give_up_after: ms(give_up),
         effect,
         in_order: false,
-        worth,
-        late_share: 0.3,
+        value: worth,
+        late_value_share: 0.3,
     };
     let settings = Settings {
         classes: vec![class(keyed, 2000, 20_000, 1.0), class(Effect::Safe, 1000, 8000, 2.0)],
-        senders: SENDERS as u32,
+        sender_count: SENDERS as u32,
         slots: 8,
         max_held: 60,
         max_attempts: 8,
         second_copies: true,
-        notes: false,
+        peer_hints: false,
         weights: Weights::Off,
         ..settings()
     };
@@ -141,10 +141,10 @@
     fn start(&mut self, s: usize) {
         let f = &self.fix;
         let mut ledger = Ledger::new(f.settings.clone(), f.names.clone(), BTreeSet::new(), 11 + s as u64);
-        ledger.list(self.now, list());
+        ledger.on_list_event(self.now, list());
         let mut bytes = Vec::new();
         self.senders[s].log.iter().for_each(|r| r.write(&mut bytes));
-        for owed in recover(frames(&bytes).records).into_values() {
+        for owed in recover(scan_log(&bytes).records).into_values() {
             self.resumed += 1;
             assert!(!ledger.resume(self.now, owed), "ends are told in the breath they are given");
         }
@@ -170,21 +170,27 @@
             pick < share
         });
         let (class, name) = (class.unwrap_or(0), self.fix.mix[class.unwrap_or(0)].0);
-        let give_up = self.fix.settings.classes[class].give_up;
+        let give_up = self.fix.settings.classes[class].give_up_after;
         let sender = &mut self.senders[s];
         let ledger = sender.ledger.as_mut().expect("live");
-        if ledger.full() {
+        if ledger.is_full() {
             return;
         }
         // Numbers are the fleet's here, so that the receivers can tell a repeat from another message.
         let n = self.next;
         self.next += 1;
-        let deadline = self.now.after(give_up);
+        let deadline = self.now.plus(give_up);
         let destination = i * 7 % 10 % DESTINATIONS;
-        let t =
-            Taken { n, id: format!("m{n}"), class: name.into(), destination, deadline, ..Taken::default() };
-        sender.log.push(Record::Taken(t.clone()));
-        ledger.take(self.now, t);
+        let t = AcceptedMessage {
+            number: n,
+            request_id: format!("m{n}"),
+            class: name.into(),
+            destination,
+            deadline,
+            ..AcceptedMessage::default()
+        };
+        sender.log.push(Record::Accepted(t.clone()));
+        ledger.accept(self.now, t);
         self.taken.insert(n, (s, class, deadline, vec![]));
     }
 
@@ -199,15 +205,15 @@
         }
         if used.1 >= most {
             let wait = Micros(start + span * 1000 - self.now.0);
-            return (self.now.after(ms(5)), Verdict::Full(Some(wait)));
+            return (self.now.plus(ms(5)), Verdict::Full(Some(wait)));
         }
         used.1 += 1;
         let effect = self.fix.settings.classes[class].effect;
         let seen = self.world.effects.entry(n).or_default();
         let dropped = match effect {
-            Effect::Keyed { group, window } => seen
-                .iter()
-                .any(|(at, z)| self.now.since(*at) <= window && (group == Group::All || *z == zone)),
+            Effect::Keyed { scope: group, window } => seen.iter().any(|(at, z)| {
+                self.now.since(*at) <= window && (group == DedupScope::Destination || *z == zone)
+            }),
             Effect::Safe | Effect::Unsafe => false,
         };
         if !dropped {
@@ -218,9 +224,9 @@
         }
         let takes = ms(self.fix.mix[class].2 + n % 5 * 20);
         if takes > patience {
-            (self.now.after(patience), Verdict::TimedOut)
+            (self.now.plus(patience), Verdict::TimedOut)
         } else {
-            (self.now.after(takes), Verdict::Delivered)
+            (self.now.plus(takes), Verdict::Delivered)
         }
     }
 
@@ -230,7 +236,7 @@
         ends.push((self.now, how));
         // A client hands a returned message in again: harmless only where what ran may run again.
         let effect = self.fix.settings.classes[*class].effect;
-        let harmless = matches!(effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
+        let harmless = matches!(effect, Effect::Safe | Effect::Keyed { scope: DedupScope::Destination, .. });
         let ran = self.world.effects.get(&n).map_or(0, Vec::len);
         assert!(how != "returned" || harmless || ran == 0, "m{n} was returned after it took effect");
         let late = self.now.since((*deadline).max(self.senders[s].started));
@@ -243,19 +249,19 @@
             self.senders[s].out.iter().filter(|(_, c)| c.0 <= now).map(|(k, c)| (*k, *c)).collect();
         for ((n, attempt), (_, to, verdict, sent)) in due {
             self.senders[s].out.remove(&(n, attempt));
-            let a = Answered {
-                n,
+            let a = AttemptOutcome {
+                number: n,
                 attempt,
-                to,
+                receiver: to,
                 verdict,
                 elapsed: now.since(sent),
                 finished: false,
-                limit: (None, None),
-                told: Micros(0),
+                load_report: (None, None),
+                wait_until: Micros(0),
             };
-            let record = self.senders[s].ledger.as_mut().expect("live").answered(now, &a);
+            let record = self.senders[s].ledger.as_mut().expect("live").end_attempt(now, &a);
             if let Some(record) = record {
-                let over = matches!(record, Record::Over(_));
+                let over = matches!(record, Record::Closed(_));
                 self.senders[s].log.push(record);
                 if over && verdict == Verdict::Delivered {
                     self.end(s, n, "delivered");
@@ -266,23 +272,26 @@
         self.senders[s].ledger.as_mut().expect("live").decide(now, true, &mut steps);
         for step in steps {
             match step {
-                Step::Call { n, attempt, to, patience } => {
+                LedgerAction::Call { number: n, attempt, receiver: to, timeout: patience } => {
                     let zone = if to.0 % 2 == 0 { "a" } else { "b" };
                     let ledger = self.senders[s].ledger.as_mut().expect("live");
-                    let Ok(record) = ledger.attempt(n, attempt, &format!("e{}", to.0), zone, now) else {
+                    let Ok(record) = ledger.begin_attempt(n, attempt, &format!("e{}", to.0), zone, now)
+                    else {
                         continue;
                     };
                     self.senders[s].log.push(record);
                     let (at, verdict) = self.receive(n, to, patience);
                     self.senders[s].out.insert((n, attempt), (at, to, verdict, now));
                 }
-                Step::CallOff { n, attempt } => drop(self.senders[s].out.remove(&(n, attempt))),
-                Step::End { n, end } => {
+                LedgerAction::CancelAttempt { number: n, attempt } => {
+                    drop(self.senders[s].out.remove(&(n, attempt)))
+                }
+                LedgerAction::ReportFinalStatus { number: n, status: end } => {
                     let sender = &mut self.senders[s];
-                    sender.log.push(Record::Given { n, end });
-                    let over = sender.ledger.as_mut().expect("live").over(n);
+                    sender.log.push(Record::FinalStatus { number: n, status: end });
+                    let over = sender.ledger.as_mut().expect("live").close(n);
                     sender.log.extend(over);
-                    self.end(s, n, if end == End::Failed { "failed" } else { "returned" });
+                    self.end(s, n, if end == FinalStatus::Failed { "failed" } else { "returned" });
                 }
                 _ => {}
             }
@@ -305,7 +314,7 @@
                     self.step(s);
                 }
             }
-            self.now = self.now.after(ms(TICK));
+            self.now = self.now.plus(ms(TICK));
         }
         handed
     }
@@ -352,7 +361,7 @@
         }
         for sender in &fleet.senders {
             assert_eq!(
-                sender.ledger.as_ref().map(Ledger::held),
+                sender.ledger.as_ref().map(Ledger::held_count),
                 Some(0),
                 "{name}: nothing is held at the end"
             );
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -6,11 +6,11 @@
 
 /// Refuses whatever comes for so long; then calls are delivered. Sends within the two seconds after it.
 fn after_refusals(span: Micros, wait: Option<Micros>, left: Option<f64>) -> usize {
-    let mut rig = Rig::new(Settings { notes: false, ..settings() }, vec![entry(1, 1, 0, 0)]);
+    let mut rig = Rig::new(Settings { peer_hints: false, ..settings() }, vec![entry(1, 1, 0, 0)]);
     rig.warm(1000, 40, 1);
-    let end = rig.now.after(span);
+    let end = rig.now.plus(span);
     let mut id = 0;
-    while rig.now.after(ms(100)) < end {
+    while rig.now.plus(ms(100)) < end {
         id += 1;
         rig.submit(id, SAFE, 1);
         rig.pass(ms(100));
--- a/tests/list_refresh.rs
+++ b/tests/list_refresh.rs
@@ -15,7 +15,13 @@
 const FAILURES: usize = 12;
 
 fn fleet(senders: u32, number: u32, ask_every: Micros) -> Settings {
-    Settings { senders, number, subscribe: true, ask_every, ..settings() }
+    Settings {
+        sender_count: senders,
+        sender_index: number,
+        subscribe_to_list: true,
+        list_poll_interval: ask_every,
+        ..settings()
+    }
 }
 
 /// The pause before each call for the list that follows a failed one, with a list held from before or without.
@@ -28,7 +34,7 @@
     let mut rig = Rig::new(set.clone(), vec![]);
     rig.policy = PolicyEngine::new(set, seed);
     rig.follows = 0;
-    let first = if held { Event::DiskList(vec![entry(1, 1, 0, 0)]) } else { Event::Wake };
+    let first = if held { Event::PersistedList(vec![entry(1, 1, 0, 0)]) } else { Event::TimerFired };
     rig.event(first);
     let mut pauses = Vec::new();
     let mut asked = 0;
@@ -61,7 +67,7 @@
         for ask_every in [0, 1000, 10_000, 60_000].map(ms) {
             for held in [true, false] {
                 let pause = longest_pause(senders, ask_every, held);
-                if pause.after(CALL) > KNOWN_WITHIN {
+                if pause.plus(CALL) > KNOWN_WITHIN {
                     late.push(format!("{senders} senders that ask every {ask_every:?}: {pause:?}"));
                 }
             }
@@ -122,7 +128,7 @@
     for number in 0..senders {
         let pauses = pauses_after(fleet(senders, number, ms(10_000)), u64::from(number), true, failure);
         for run in pauses.chunks_exact(4) {
-            let calls = Micros(run.iter().map(|pause| pause.0).sum()).after(SILENT).after(QUEUED);
+            let calls = Micros(run.iter().map(|pause| pause.0).sum()).plus(SILENT).plus(QUEUED);
             assert!(
                 calls <= KNOWN_WITHIN,
                 "sender {number} of {senders} asks for the fifth time after {calls:?}"
@@ -142,7 +148,7 @@
     for number in 0..senders {
         let pauses = pauses_after(fleet(senders, number, ms(10_000)), u64::from(number), true, failure);
         for run in pauses.chunks_exact(5) {
-            let calls = Micros(run.iter().map(|pause| pause.0).sum()).after(SILENT_WATCH).after(QUEUED);
+            let calls = Micros(run.iter().map(|pause| pause.0).sum()).plus(SILENT_WATCH).plus(QUEUED);
             assert!(
                 calls <= KNOWN_WITHIN,
                 "sender {number} of {senders} asks for the sixth time after {calls:?}"
@@ -157,7 +163,7 @@
     let mut rig = Rig::new(fleet(6, 0, ms(10_000)), vec![]);
     rig.event(Event::ListRefused);
     let asked = rig.follows;
-    rig.event(Event::ListMoved);
+    rig.event(Event::ListSourceChanged);
     rig.pass(ms(10_000));
     assert_eq!(rig.follows, asked);
     rig.event(Event::ListRefused);
--- a/tests/lost_answers.rs
+++ b/tests/lost_answers.rs
@@ -22,14 +22,14 @@
 /// Hands in a message each 12 ms for 20 s. From the fifth second to the fifteenth one answer in `lost` never comes; with
 /// `late` it is one message in so many, each call of which is answered after that.
 fn play(class: usize, slots: u32, lost: u64, late: Option<Micros>) -> Played {
-    let quiet = Settings { slots, senders: 1, notes: false, weights: Weights::Off, ..settings() };
+    let quiet = Settings { slots, sender_count: 1, peer_hints: false, weights: Weights::Off, ..settings() };
     let entries = (0..RECEIVERS).map(|r| entry(r, r / 2, 0, 0)).collect();
     let mut rig = Rig::new(quiet, entries);
     let (start, mut handed) = (rig.now, BTreeMap::new());
     let (mut calls, mut in_time, mut n) = (0u64, 0, 0u64);
     let mut off: BTreeMap<u64, usize> = BTreeMap::new();
     let mut answers: BTreeMap<(u64, u32), Option<Micros>> = BTreeMap::new();
-    while rig.now < start.after(ms(30_000)) {
+    while rig.now < start.plus(ms(30_000)) {
         let at = rig.now.since(start);
         if at < ms(20_000) && at.0 / 1000 >= n * EVERY {
             handed.insert(n, rig.now);
--- a/tests/many_senders.rs
+++ b/tests/many_senders.rs
@@ -6,7 +6,7 @@
 use onyxrock::interface::*;
 
 fn many() -> Settings {
-    Settings { senders: 200, ..settings() }
+    Settings { sender_count: 200, ..settings() }
 }
 
 /// A full table, then a delivery: are the idle connections closed?
@@ -25,8 +25,8 @@
 fn idle_connections_are_closed_where_many_senders_share_small_tables() {
     assert!(closes_after_full_table(many()), "the whole kind has small tables");
     assert!(closes_after_full_table(settings()), "two senders can fill a table, too");
-    assert!(!closes_after_full_table(Settings { senders: 1, ..settings() }), "nobody needs the room");
-    assert!(!closes_after_full_table(Settings { connection_idle: Micros(0), ..many() }));
+    assert!(!closes_after_full_table(Settings { sender_count: 1, ..settings() }), "nobody needs the room");
+    assert!(!closes_after_full_table(Settings { connection_idle_timeout: Micros(0), ..many() }));
 }
 
 #[test]
@@ -130,8 +130,8 @@
 /// the pace rises within seconds.
 #[test]
 fn what_the_pace_may_yet_reach_is_not_ended() {
-    let set = Settings { senders: 300, notes: false, reports: false, ..many() };
-    let mut rig = Rig::new(set, vec![Entry { weight: 0.0, ..entry(1, 1, 0, 0) }]);
+    let set = Settings { sender_count: 300, peer_hints: false, load_reports: false, ..many() };
+    let mut rig = Rig::new(set, vec![ListEntry { weight: 0.0, ..entry(1, 1, 0, 0) }]);
     rig.submit(1, SAFE, 1);
     for _ in 0..2 {
         while rig.out.is_empty() {
@@ -149,7 +149,7 @@
     let mut rig = Rig::new(many(), vec![entry(1, 1, 0, 0)]);
     rig.warm(1000, 20, 1);
     for _ in 0..notes {
-        rig.event(Event::Note(1u32.to_le_bytes().to_vec()));
+        rig.event(Event::PeerHint(1u32.to_le_bytes().to_vec()));
     }
     if own {
         rig.submit(1, SAFE, 1);
@@ -177,7 +177,7 @@
 fn refusals_are_told_at_a_bounded_rate_and_odd_notes_are_ignored() {
     let mut rig = Rig::new(many(), vec![entry(1, 1, 0, 0)]);
     for data in [vec![], vec![1], vec![255; 4], vec![7; 300]] {
-        rig.event(Event::Note(data));
+        rig.event(Event::PeerHint(data));
     }
     for id in 1..6 {
         rig.submit(id, SAFE, 1);
@@ -223,14 +223,14 @@
     let mut policy = PolicyEngine::new(settings(), 7);
     let mut actions = Vec::new();
     let now = ms(5_000_000);
-    policy.on_event(now, Event::DiskList(vec![entry(1, 1, 0, 0)]), &mut actions);
+    policy.on_event(now, Event::PersistedList(vec![entry(1, 1, 0, 0)]), &mut actions);
     let message = |id| Message {
         id: MessageId(id),
         class: ClassId(SAFE),
         tenant: None,
-        key: None,
+        ordering_key: None,
         destination: DestinationId(1),
-        left: ms(20_000),
+        time_left: ms(20_000),
     };
     policy.on_event(now, Event::Submit(message(1)), &mut actions);
     policy.decide(now, &mut actions);
@@ -243,27 +243,27 @@
             verdict: Verdict::Full(Some(ms(800))),
             elapsed: ms(10),
             finished: false,
-            limit: None,
-            left: None,
+            limit_per_s: None,
+            remaining_share: None,
         }),
         &mut actions,
     );
     actions.clear();
     policy.decide(now, &mut actions);
-    assert_eq!(actions, [Action::WakeAfter(ms(300))], "when the message's own pause is over, and not before");
+    assert_eq!(actions, [Action::SetTimer(ms(300))], "when the message's own pause is over, and not before");
     actions.clear();
-    policy.on_event(now.after(ms(300)), Event::Wake, &mut actions);
-    policy.decide(now.after(ms(300)), &mut actions);
-    assert_eq!(actions, [Action::WakeAfter(ms(500))], "then when the told wait is");
+    policy.on_event(now.plus(ms(300)), Event::TimerFired, &mut actions);
+    policy.decide(now.plus(ms(300)), &mut actions);
+    assert_eq!(actions, [Action::SetTimer(ms(500))], "then when the told wait is");
 }
 
 #[test]
 fn many_senders_do_not_all_meet_a_told_opening_at_once() {
     let tries: Vec<usize> = (0..20u64)
         .map(|seed| {
-            let mut rig = Rig::new(many(), vec![Entry { weight: 400.0, ..entry(1, 1, 0, 0) }]);
+            let mut rig = Rig::new(many(), vec![ListEntry { weight: 400.0, ..entry(1, 1, 0, 0) }]);
             rig.policy = PolicyEngine::new(many(), seed);
-            rig.event(Event::DiskList(vec![Entry { weight: 400.0, ..entry(1, 1, 0, 0) }]));
+            rig.event(Event::PersistedList(vec![ListEntry { weight: 400.0, ..entry(1, 1, 0, 0) }]));
             rig.submit(1, SAFE, 1);
             rig.answer(1, Verdict::Full(Some(ms(3000))));
             rig.submit(2, SAFE, 1);
@@ -278,11 +278,11 @@
 #[test]
 fn senders_refused_at_one_moment_do_not_come_back_at_one_moment() {
     let mut back = Vec::new();
-    let told_nothing = Settings { senders: 100, notes: false, ..settings() };
+    let told_nothing = Settings { sender_count: 100, peer_hints: false, ..settings() };
     for seed in 0..100 {
         let mut rig = Rig::new(told_nothing.clone(), vec![entry(1, 1, 0, 0)]);
         rig.policy = PolicyEngine::new(told_nothing.clone(), seed);
-        rig.event(Event::DiskList(vec![Entry { weight: 80.0, ..entry(1, 1, 0, 0) }]));
+        rig.event(Event::PersistedList(vec![ListEntry { weight: 80.0, ..entry(1, 1, 0, 0) }]));
         rig.warm(1000, 2, 1);
         rig.submit(1, SAFE, 1);
         rig.answer(1, Verdict::Full(None));
@@ -300,7 +300,13 @@
 /// Few senders crowd no service: they ask for the list at once, and again soon after a failure.
 #[test]
 fn few_senders_ask_for_the_list_at_once_and_again_soon() {
-    let set = Settings { senders: 2, number: 1, subscribe: true, ask_every: ms(10_000), ..settings() };
+    let set = Settings {
+        sender_count: 2,
+        sender_index: 1,
+        subscribe_to_list: true,
+        list_poll_interval: ms(10_000),
+        ..settings()
+    };
     let mut rig = Rig::new(set, vec![entry(1, 1, 0, 0)]);
     assert_eq!(rig.follows, 1);
     rig.event(Event::ListFailed);
@@ -311,7 +317,13 @@
 /// Where lists are pushed every change counts as told at once: many senders may not wait their turn after a failure.
 #[test]
 fn where_nothing_says_how_often_to_ask_many_senders_ask_again_soon() {
-    let set = Settings { senders: 300, number: 250, subscribe: true, ask_every: ms(0), ..settings() };
+    let set = Settings {
+        sender_count: 300,
+        sender_index: 250,
+        subscribe_to_list: true,
+        list_poll_interval: ms(0),
+        ..settings()
+    };
     let mut rig = Rig::new(set, vec![entry(1, 1, 0, 0)]);
     assert_eq!(rig.follows, 1);
     rig.event(Event::ListFailed);
--- a/tests/probes.rs
+++ b/tests/probes.rs
@@ -2,14 +2,14 @@
 
 mod common;
 use common::*;
-use onyxrock::core::{Answered, Ledger, Names, Step, probes};
+use onyxrock::core::{AttemptOutcome, Ledger, LedgerAction, NameIndex, add_probe_class};
 use onyxrock::interface::*;
 
 const PROBE: usize = 4;
 
 fn probed(hold_back: u64) -> Settings {
     let mut set = settings();
-    assert_eq!(probes(&mut set, ms(2000), ms(hold_back)), ClassId(PROBE));
+    assert_eq!(add_probe_class(&mut set, ms(2000), ms(hold_back)), ClassId(PROBE));
     set
 }
 
@@ -27,7 +27,7 @@
     let mut rig = Rig::new(settings(), vec![entry(1, 1, 0, 0)]);
     rig.warm(1, 3, 1);
     let before = rig.sent.len();
-    notes.iter().for_each(|n| rig.event(Event::Note(n.clone())));
+    notes.iter().for_each(|n| rig.event(Event::PeerHint(n.clone())));
     for id in 10..30 {
         rig.submit(id, SAFE, 1);
     }
@@ -38,8 +38,8 @@
     assert_eq!(rig.sent.len(), before + 1);
     // A delivery that another tells of, late or out of order, ends no wait.
     let mut rig = Rig::new(settings(), vec![entry(1, 1, 0, 0)]);
-    notes.iter().for_each(|n| rig.event(Event::Note(n.clone())));
-    rig.event(Event::Note(vec![1, 0, 0, 0, 1]));
+    notes.iter().for_each(|n| rig.event(Event::PeerHint(n.clone())));
+    rig.event(Event::PeerHint(vec![1, 0, 0, 0, 1]));
     rig.submit(1, SAFE, 1);
     rig.pass(ms(2990));
     assert!(rig.sent.is_empty());
@@ -49,13 +49,13 @@
 fn a_wait_beyond_reason_and_half_a_note_do_little() {
     let mut rig = Rig::new(settings(), vec![entry(1, 1, 0, 0)]);
     for bytes in [&[1, 0, 0, 0, 2, 9][..], &[1, 0, 0, 0, 7], &[9, 0, 0, 0, 2, 1, 1, 1, 1], &[2]] {
-        rig.event(Event::Note(bytes.to_vec()));
+        rig.event(Event::PeerHint(bytes.to_vec()));
     }
     rig.submit(1, SAFE, 1);
     rig.pass(ms(100));
     assert_eq!(rig.sent.len(), 1, "none of them says anything");
     let mut rig = Rig::new(settings(), vec![entry(1, 1, 0, 0)]);
-    rig.event(Event::Note([&[1, 0, 0, 0, 2][..], &u32::MAX.to_le_bytes()].concat()));
+    rig.event(Event::PeerHint([&[1, 0, 0, 0, 2][..], &u32::MAX.to_le_bytes()].concat()));
     rig.pass(ms(59_000));
     rig.submit(1, SAFE, 1);
     rig.pass(ms(900));
@@ -93,25 +93,40 @@
 
 impl Table {
     fn new() -> Table {
-        let mut ledger = Ledger::new(probed(0), Names::default(), Default::default(), 5);
-        ledger.list(ms(1000), Event::FullList(vec![entry(1, 1, 0, 0)]));
+        let mut ledger = Ledger::new(probed(0), NameIndex::default(), Default::default(), 5);
+        ledger.on_list_event(ms(1000), Event::FullList(vec![entry(1, 1, 0, 0)]));
         Table { ledger, now: ms(1000) }
     }
     fn probe(&mut self) -> u64 {
-        self.ledger.probe(self.now, ClassId(PROBE), DestinationId(1), ms(2000))
+        self.ledger.submit_probe(self.now, ClassId(PROBE), DestinationId(1), ms(2000))
     }
-    fn steps(&mut self) -> Vec<Step> {
+    fn steps(&mut self) -> Vec<LedgerAction> {
         let mut steps = Vec::new();
         self.ledger.decide(self.now, true, &mut steps);
-        steps.retain(|s| matches!(s, Step::Probe { .. } | Step::Call { .. } | Step::End { .. }));
+        steps.retain(|s| {
+            matches!(
+                s,
+                LedgerAction::Probe { .. }
+                    | LedgerAction::Call { .. }
+                    | LedgerAction::ReportFinalStatus { .. }
+            )
+        });
         steps
     }
     fn answer(&mut self, n: u64, verdict: Verdict) {
-        self.now = self.now.after(ms(50));
+        self.now = self.now.plus(ms(50));
         let (to, limit) = (ReceiverId(1), (None, None));
-        let a =
-            Answered { n, attempt: 0, to, verdict, elapsed: ms(50), finished: false, limit, told: Micros(0) };
-        assert_eq!(self.ledger.answered(self.now, &a), None, "no log has it");
+        let a = AttemptOutcome {
+            number: n,
+            attempt: 0,
+            receiver: to,
+            verdict,
+            elapsed: ms(50),
+            finished: false,
+            load_report: limit,
+            wait_until: Micros(0),
+        };
+        assert_eq!(self.ledger.end_attempt(self.now, &a), None, "no log has it");
     }
 }
 
@@ -122,14 +137,20 @@
         let mut t = Table::new();
         let n = t.probe();
         let steps = t.steps();
-        assert!(matches!(steps[..], [Step::Probe { n: m, to: ReceiverId(1), .. }] if m == n), "{steps:?}");
-        assert_eq!((t.ledger.held(), t.ledger.owed().count(), t.ledger.out()), (0, 0, 0));
+        assert!(
+            matches!(steps[..], [LedgerAction::Probe { number: m, receiver: ReceiverId(1), .. }] if m == n),
+            "{steps:?}"
+        );
+        assert_eq!(
+            (t.ledger.held_count(), t.ledger.open_messages().count(), t.ledger.attempts_in_flight()),
+            (0, 0, 0)
+        );
         t.answer(n, verdict);
         for _ in 0..40 {
-            t.now = t.now.after(ms(100));
+            t.now = t.now.plus(ms(100));
             assert_eq!(t.steps(), [], "{verdict:?}: it is not repeated and has no end to tell");
         }
-        assert!(!t.ledger.probing(n));
+        assert!(!t.ledger.probe_is_open(n));
     }
 }
 
@@ -141,17 +162,17 @@
     t.answer(first, Verdict::Full(Some(ms(10_000))));
     let (late, off) = (t.probe(), t.probe());
     assert_eq!(t.steps(), [], "the told wait holds for probes too");
-    t.ledger.call_off(t.now, off);
+    t.ledger.cancel_probe(t.now, off);
     for _ in 0..30 {
-        t.now = t.now.after(ms(100));
+        t.now = t.now.plus(ms(100));
         assert_eq!(t.steps(), []);
     }
-    assert!(!t.ledger.probing(late) && !t.ledger.probing(off));
+    assert!(!t.ledger.probe_is_open(late) && !t.ledger.probe_is_open(off));
     // One that is out is called off too; its end is still taken.
-    t.now = t.now.after(ms(20_000));
+    t.now = t.now.plus(ms(20_000));
     let out = t.probe();
     assert_eq!(t.steps().len(), 1);
-    t.ledger.call_off(t.now, out);
+    t.ledger.cancel_probe(t.now, out);
     t.answer(out, Verdict::Error);
     assert_eq!(t.steps(), []);
 }
@@ -159,11 +180,11 @@
 #[test]
 fn what_drains_is_not_probed() {
     let mut t = Table::new();
-    let drains = Entry { listing: Listing::Draining, ..entry(1, 1, 0, 0) };
-    t.ledger.list(t.now, Event::ListChanges(vec![drains]));
+    let drains = ListEntry { state: EntryState::Draining, ..entry(1, 1, 0, 0) };
+    t.ledger.on_list_event(t.now, Event::ListChanges(vec![drains]));
     let n = t.probe();
     assert_eq!(t.steps(), []);
-    t.now = t.now.after(ms(2500));
+    t.now = t.now.plus(ms(2500));
     assert_eq!(t.steps(), []);
-    assert!(!t.ledger.probing(n) && t.ledger.in_question().next().is_none());
+    assert!(!t.ledger.probe_is_open(n) && t.ledger.unconfirmed_destinations().next().is_none());
 }
