--- a/tests/random.rs
+++ b/tests/random.rs
@@ -51,7 +51,7 @@
 
 const RECEIVERS: u64 = 9; // three to a destination; destination 1 has routes apart
 
-fn place(receiver: u64) -> Entry {
+fn place(receiver: u64) -> ListEntry {
     let destination = receiver / 3;
     entry(receiver, destination, destination as usize, (receiver % 2) as usize)
 }
@@ -71,7 +71,7 @@
         assert!(m.out.iter().all(|o| o.1 != receiver), "a copy goes to another receiver");
         assert!(m.attempts - m.held_back < set.max_attempts, "no attempt beyond the limit");
         assert_eq!(receiver / 3, m.destination, "only receivers of the destination");
-        assert!(now.after(patience) <= m.deadline, "rule 1: the call ends before the message does");
+        assert!(now.plus(patience) <= m.deadline, "rule 1: the call ends before the message does");
         let off = self.told_off.get(&receiver);
         assert!(off.is_none_or(|t| now.since(*t) <= ms(1000)), "rule 3: drains are kept");
         let wait = self.waits.get(&wait_key(receiver)).copied().unwrap_or_default();
@@ -81,9 +81,12 @@
             match set.classes[m.class].effect {
                 Effect::Safe => {}
                 Effect::Unsafe => panic!("rule 2: an unsafe message that may have run went again"),
-                Effect::Keyed { group, window } => {
+                Effect::Keyed { scope: group, window } => {
                     assert!(now.since(sent) <= window, "rule 2: inside the window");
-                    assert!(group == Group::All || (receiver % 2) as usize == zone, "rule 2: in the group");
+                    assert!(
+                        group == DedupScope::Destination || (receiver % 2) as usize == zone,
+                        "rule 2: in the group"
+                    );
                 }
             }
         }
@@ -93,17 +96,17 @@
             assert!(owner == id || now >= until, "rule 5: the key rests");
         }
         let m = self.messages.get_mut(&id).expect("a known message");
-        m.out.push((m.attempts, receiver, now, now.after(patience), Some(up)));
+        m.out.push((m.attempts, receiver, now, now.plus(patience), Some(up)));
         m.attempts += 1;
     }
 
     fn end(&mut self, now: Micros, set: &Settings, id: u64, refused: bool) {
         let m = self.messages.get_mut(&id).expect("a known message");
         assert!(!m.ended, "rule 1: one final answer");
-        assert!(now <= m.deadline.after(ms(20)), "rule 1: in time");
+        assert!(now <= m.deadline.plus(ms(20)), "rule 1: in time");
         if refused {
             let effect = set.classes[m.class].effect;
-            let keyed_all = matches!(effect, Effect::Keyed { group: Group::All, .. });
+            let keyed_all = matches!(effect, Effect::Keyed { scope: DedupScope::Destination, .. });
             assert!(
                 m.doubt.is_none() || effect == Effect::Safe || keyed_all,
                 "rule 2: harmless refusals only"
@@ -127,7 +130,7 @@
 
     fn told(&mut self, now: Micros, receiver: u64, wait: Micros) {
         let until = self.waits.entry(wait_key(receiver)).or_default();
-        *until = (*until).max(now.after(wait));
+        *until = (*until).max(now.plus(wait));
     }
 
     /// Asks the gate for the calls whose connections are up, or lets all go. What is held back has its outcome.
@@ -142,7 +145,7 @@
         {
             let says = policy.leave(now, MessageId(id), attempt, ReceiverId(receiver));
             let m = self.messages.get_mut(&id).expect("a known message");
-            if says == Leave::Go || !gate {
+            if says == SendRecheck::Allowed || !gate {
                 let call = m.out.iter_mut().find(|o| o.0 == attempt).expect("a call is out");
                 call.4 = None;
                 self.left += 1;
@@ -150,7 +153,7 @@
                     usize::from(self.waits.get(&wait_key(receiver)).is_some_and(|until| now < *until));
                 continue;
             }
-            let over = says == Leave::Over;
+            let over = says == SendRecheck::MessageEnded;
             m.held_back += u32::from(!over);
             self.held_back += usize::from(!over);
             let verdict = if over { Verdict::Moot } else { Verdict::HeldBack };
@@ -174,7 +177,7 @@
             m.doubt = m.doubt.into_iter().chain([this]).min_by_key(|f| f.0);
         }
         if let (true, Some(k)) = (unsure, m.key.clone()) {
-            self.rest.insert(k, (now.after(set.key_rest), id));
+            self.rest.insert(k, (now.plus(set.key_cooldown), id));
         }
         let finished = m.ended;
         if let Verdict::Full(Some(w)) = verdict {
@@ -186,7 +189,16 @@
         // Some tell of a limit, and of no share that could be left of one.
         let (limit, left) =
             if report < 0.5 { (None, None) } else { (Some(report * 9.0), Some(report * 1.2)) };
-        Event::Outcome(Outcome { id, attempt, receiver, verdict, elapsed, finished, limit, left })
+        Event::Outcome(Outcome {
+            id,
+            attempt,
+            receiver,
+            verdict,
+            elapsed,
+            finished,
+            limit_per_s: limit,
+            remaining_share: left,
+        })
     }
 }
 
@@ -209,15 +221,15 @@
         if !whole && dice.below(3) > 0 {
             continue;
         }
-        let listing =
-            [Listing::Ready, Listing::Ready, Listing::Draining, Listing::Gone][dice.below(4) as usize];
-        if listing == Listing::Ready {
+        let listing = [EntryState::Ready, EntryState::Ready, EntryState::Draining, EntryState::Gone]
+            [dice.below(4) as usize];
+        if listing == EntryState::Ready {
             world.told_off.remove(&r);
         } else {
             world.told_off.entry(r).or_insert(now);
         }
-        if !(whole && listing == Listing::Gone) {
-            entries.push(Entry { listing, ..place(r) });
+        if !(whole && listing == EntryState::Gone) {
+            entries.push(ListEntry { state: listing, ..place(r) });
         }
     }
     if whole { Event::FullList(entries) } else { Event::ListChanges(entries) }
@@ -230,9 +242,10 @@
 
 /// What a deployment allows, as its settings say it.
 fn deployments(dice: &mut Dice) -> Settings {
-    let one = Settings { slots: 1 + dice.below(8) as u32, max_held: 30, subscribe: true, ..settings() };
+    let one =
+        Settings { slots: 1 + dice.below(8) as u32, max_held: 30, subscribe_to_list: true, ..settings() };
     // Another: answers report limits, the list tells of none, and what is safe to repeat may go twice at once.
-    let other = Settings { second_copies: true, notes: false, weights: Weights::Off, ..one.clone() };
+    let other = Settings { second_copies: true, peer_hints: false, weights: Weights::Off, ..one.clone() };
     if dice.below(2) == 0 { one } else { other }
 }
 
@@ -245,7 +258,7 @@
     let mut now = Micros(dice.below(1 << 50));
     let mut next = 1;
     let mut called_off = Vec::new();
-    let mut events = vec![Event::DiskList((0..RECEIVERS).map(place).collect())];
+    let mut events = vec![Event::PersistedList((0..RECEIVERS).map(place).collect())];
     for step in 0..3000 {
         events.extend(world.leave(now, &set, &policy, gate));
         if step < 2000 && dice.below(3) == 0 {
@@ -253,7 +266,7 @@
             let key = (class == ORDERED).then(|| format!("k{}", dice.below(3)));
             let left = ms(100 + dice.below(20_000));
             let destination = dice.below(3);
-            let deadline = now.after(left);
+            let deadline = now.plus(left);
             if let Some(k) = &key {
                 world.order.entry(k.clone()).or_default().push(next);
             }
@@ -273,9 +286,9 @@
                 id: MessageId(next),
                 class: ClassId(class),
                 tenant: None,
-                key,
+                ordering_key: key,
                 destination: DestinationId(destination),
-                left,
+                time_left: left,
             }));
             next += 1;
         }
@@ -310,14 +323,14 @@
                 if verdict == Verdict::Error && dice.below(2) == 0 {
                     let wait = ms(dice.below(1500) + 1);
                     world.told(now, receiver, wait);
-                    events.push(Event::Wait(ReceiverId(receiver), wait));
+                    events.push(Event::RetryAfter(ReceiverId(receiver), wait));
                 }
                 events.push(world.outcome(now, &set, id, attempt, verdict, report));
             }
         }
         // What nobody knows must be ignored.
         events.push(Event::Withdrawn(MessageId(1 << 40)));
-        events.push(Event::Wake);
+        events.push(Event::TimerFired);
         let mut actions = Vec::new();
         for event in events.drain(..) {
             policy.on_event(now, event, &mut actions);
@@ -326,18 +339,18 @@
         for action in actions {
             world.log.push(format!("{action:?}"));
             match action {
-                Action::Send { id, receiver, patience } => {
+                Action::Send { id, receiver, timeout: patience } => {
                     let late = if dice.below(4) == 0 { ms(dice.below(1000)) } else { Micros(0) };
-                    world.check_send(now, &set, id.0, receiver.0, patience, now.after(late));
+                    world.check_send(now, &set, id.0, receiver.0, patience, now.plus(late));
                     world.copies += usize::from(world.messages[&id.0].out.len() == 2);
                     let out = world.messages.values().map(|m| m.out.len()).sum::<usize>();
                     assert!(out <= set.slots as usize * 4, "calls carry four messages at most");
                 }
                 Action::Refuse { id, .. } => world.end(now, &set, id.0, true),
                 Action::Fail(id) => world.end(now, &set, id.0, false),
-                Action::CallOff { id, attempt } => {
+                Action::CancelAttempt { id, attempt } => {
                     let m = &world.messages[&id.0];
-                    assert!(set.cancel && attempt < m.attempts, "only what went");
+                    assert!(set.allow_cancel && attempt < m.attempts, "only what went");
                     let again = set.classes[m.class].effect != Effect::Unsafe && attempt < 2;
                     assert!(m.ended || again, "only what nobody wants, or may go again");
                     called_off.push((id.0, attempt));
@@ -345,9 +358,9 @@
                 _ => {}
             }
         }
-        now = now.after(ms(10));
+        now = now.plus(ms(10));
         for (id, m) in &world.messages {
-            assert!(m.ended || now <= m.deadline.after(ms(30)), "rule 1: {id} was forgotten");
+            assert!(m.ended || now <= m.deadline.plus(ms(30)), "rule 1: {id} was forgotten");
         }
     }
     world
@@ -381,22 +394,22 @@
         slots: 0,
         max_held: 0,
         max_attempts: 0,
-        senders: 0,
-        fall_multiple: f64::NAN,
-        fall_window: Micros(0),
-        cold_from: -1.0,
-        warm_within: Micros(0),
-        ask_every: Micros(0),
+        sender_count: 0,
+        collapse_multiple: f64::NAN,
+        collapse_window: Micros(0),
+        cold_start_share: -1.0,
+        warm_up_time: Micros(0),
+        list_poll_interval: Micros(0),
         ..settings()
     };
     let huge = Settings {
         slots: u32::MAX,
-        fall_multiple: f64::INFINITY,
-        fall_window: Micros(u64::MAX),
+        collapse_multiple: f64::INFINITY,
+        collapse_window: Micros(u64::MAX),
         ..settings()
     };
     for set in [empty, huge] {
-        let mut rig = Rig::new(set, vec![Entry { weight: -3.0, ..entry(1, 1, 77, 99) }]);
+        let mut rig = Rig::new(set, vec![ListEntry { weight: -3.0, ..entry(1, 1, 77, 99) }]);
         for id in 1..50 {
             rig.submit(id, SAFE, 1);
         }
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -5,16 +5,16 @@
 use onyxrock::interface::*;
 
 fn one_slot() -> Settings {
-    Settings { slots: 1, max_held: 20, fall_multiple: 0.0, ..settings() }
+    Settings { slots: 1, max_held: 20, collapse_multiple: 0.0, ..settings() }
 }
 
 impl Rig {
     fn message(id: u64, tenant: Option<usize>, left: Micros) -> Message {
         let (class, tenant, destination) = (ClassId(SAFE), tenant.map(TenantId), DestinationId(1));
-        Message { id: MessageId(id), class, tenant, key: None, destination, left }
+        Message { id: MessageId(id), class, tenant, ordering_key: None, destination, time_left: left }
     }
     /// All that a start finds comes before the first decision.
-    fn resume(&mut self, ids: std::ops::Range<u64>, tenant: Option<usize>, past: Past) {
+    fn resume(&mut self, ids: std::ops::Range<u64>, tenant: Option<usize>, past: AttemptHistory) {
         let mut actions = Vec::new();
         for id in ids {
             let m = Rig::message(id, tenant, ms(4000 + id));
@@ -38,7 +38,7 @@
 fn a_full_desk_loses_only_what_newcomers_take() {
     for newcomers in 0..3 {
         let mut rig = Rig::new(one_slot(), vec![entry(1, 1, 0, 0)]);
-        rig.resume(1..20, None, Past::default());
+        rig.resume(1..20, None, AttemptHistory::default());
         (0..newcomers).for_each(|i| rig.submit(50 + i, SAFE, 1));
         let went: Vec<_> = (0..19).map(|_| rig.goes(Verdict::Delivered)).collect();
         let ahead: Vec<_> = went.iter().copied().take_while(|id| *id < 20).collect();
@@ -52,7 +52,7 @@
 #[test]
 fn a_severe_pace_gives_none_of_them_up() {
     let mut rig = Rig::new(one_slot(), vec![entry(1, 1, 0, 0)]);
-    rig.resume(1..12, None, Past::default());
+    rig.resume(1..12, None, AttemptHistory::default());
     for _ in 0..400 {
         rig.pass(ms(10));
         if let Some(id) = rig.out.first().map(|s| s.id) {
@@ -69,7 +69,7 @@
 fn a_restart_charges_no_share_twice() {
     let tenants = vec![TenantSettings { allowance_per_s: 1.0 }];
     let mut rig = Rig::new(Settings { tenants, ..one_slot() }, vec![entry(1, 1, 0, 0)]);
-    rig.resume(1..6, Some(0), Past::default());
+    rig.resume(1..6, Some(0), AttemptHistory::default());
     rig.event(Event::Submit(Rig::message(50, Some(0), ms(9000))));
     rig.event(Event::Submit(Rig::message(51, None, ms(9000))));
     let went: Vec<_> = (0..6).map(|_| rig.goes(Verdict::Delivered)).collect();
@@ -82,7 +82,7 @@
     let never_left = [Verdict::HeldBack, Verdict::Moot, Verdict::ConnectFailed].map(|v| (v, true));
     for (verdict, first) in never_left.into_iter().chain([(Verdict::Full(None), false)]) {
         let mut rig = Rig::new(one_slot(), vec![entry(1, 1, 0, 0)]);
-        rig.resume(1..2, None, Past::default());
+        rig.resume(1..2, None, AttemptHistory::default());
         // Both are within their aim, and it is past its own.
         rig.submit(50, SAFE, 1);
         rig.submit(51, SAFE, 1);
@@ -99,8 +99,8 @@
 #[test]
 fn what_has_had_its_call_waits_its_turn() {
     let mut rig = Rig::new(one_slot(), vec![entry(1, 1, 0, 0)]);
-    rig.resume(1..4, None, Past { attempts: 1, maybe_ran: None });
-    rig.resume(4..7, None, Past::default());
+    rig.resume(1..4, None, AttemptHistory { attempts: 1, first_possible_run: None });
+    rig.resume(4..7, None, AttemptHistory::default());
     let went: Vec<_> = (0..5).map(|_| rig.goes(Verdict::Delivered)).collect();
     assert_eq!(went[1..4], [4, 5, 6], "the first had gone already");
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -101,8 +101,8 @@
 fn receivers_that_are_gone_do_not_slow_those_that_are_here() {
     let sent = |gone: u64| {
         let mut rig = Rig::new(settings(), vec![entry(1, 1, 0, 0)]);
-        for listing in [Listing::Ready, Listing::Gone] {
-            let past = (100..100 + gone).map(|r| Entry { listing, ..entry(r, 1, 0, 0) }).collect();
+        for listing in [EntryState::Ready, EntryState::Gone] {
+            let past = (100..100 + gone).map(|r| ListEntry { state: listing, ..entry(r, 1, 0, 0) }).collect();
             rig.event(Event::ListChanges(past));
         }
         rig.warm(1000, 50, 1);
@@ -156,7 +156,7 @@
 fn nothing_goes_to_a_draining_or_removed_receiver() {
     for whole in [false, true] {
         let mut rig = Rig::new(settings(), vec![entry(1, 1, 0, 0), entry(2, 1, 0, 0)]);
-        let draining = Entry { listing: Listing::Draining, ..entry(1, 1, 0, 0) };
+        let draining = ListEntry { state: EntryState::Draining, ..entry(1, 1, 0, 0) };
         rig.event(if whole {
             Event::FullList(vec![entry(2, 1, 0, 0)])
         } else {
@@ -171,7 +171,7 @@
 
 #[test]
 fn failed_subscription_is_asked_again_within_the_interval() {
-    let mut rig = Rig::new(Settings { subscribe: true, ..settings() }, vec![]);
+    let mut rig = Rig::new(Settings { subscribe_to_list: true, ..settings() }, vec![]);
     assert_eq!(rig.follows, 1);
     for n in 2..12 {
         rig.event(Event::ListFailed);
@@ -336,7 +336,7 @@
 fn a_keyed_message_is_no_trial_before_a_safe_one_had_its_time() {
     let tried = |class| {
         // Without the budget of a cold one, which may come later than either.
-        let set = Settings { fall_multiple: 0.0, ..settings() };
+        let set = Settings { collapse_multiple: 0.0, ..settings() };
         let mut rig = Rig::new(set, vec![entry(1, 1, 0, 0)]);
         rig.warm(1000, 20, 1);
         rig.submit(1, SAFE, 1);
@@ -348,5 +348,5 @@
         rig.sent.iter().find(|s| s.id == 2).expect("it is tried at last").at.since(from)
     };
     let (safe, keyed) = (tried(SAFE), tried(ZONED));
-    assert!(keyed >= safe.after(ms(400)), "{safe:?} {keyed:?}");
+    assert!(keyed >= safe.plus(ms(400)), "{safe:?} {keyed:?}");
 }
--- a/tests/short_window.rs
+++ b/tests/short_window.rs
@@ -89,12 +89,12 @@
     rig.pass(ms(300));
     let repeat = rig.out.first().cloned().expect("the repeat is decided on");
     let leave = |rig: &Rig, after: u64| {
-        let at = rig.sent[0].at.after(ms(after));
+        let at = rig.sent[0].at.plus(ms(after));
         rig.policy.leave(at, MessageId(1), repeat.attempt, ReceiverId(repeat.receiver))
     };
     // A sender may be held up for 0.15 s between this look and the first byte.
-    assert_eq!(leave(&rig, 840), Leave::Go);
-    assert_eq!(leave(&rig, 850), Leave::Late);
+    assert_eq!(leave(&rig, 840), SendRecheck::Allowed);
+    assert_eq!(leave(&rig, 850), SendRecheck::NoLongerAllowed);
 }
 
 /// What a restart finds with an attempt out: so long ago it was sent, and so often it goes.
@@ -108,11 +108,11 @@
                 id: MessageId(1),
                 class: ClassId(class),
                 tenant: None,
-                key: None,
+                ordering_key: None,
                 destination: DestinationId(1),
-                left: ms(18_000),
+                time_left: ms(18_000),
             };
-            let past = Past { attempts: 1, maybe_ran: Some((first, ZoneId(1))) };
+            let past = AttemptHistory { attempts: 1, first_possible_run: Some((first, ZoneId(1))) };
             rig.event(Event::Resume(message, past));
             rig.pass(ms(2000));
             assert_eq!(rig.sends_of(1), sends, "class {class}, sent {ago} ms ago");
--- a/tests/waits.rs
+++ b/tests/waits.rs
@@ -6,13 +6,13 @@
 
 const APART: usize = 1;
 
-fn leave(rig: &Rig, id: u64) -> Leave {
+fn leave(rig: &Rig, id: u64) -> SendRecheck {
     let call = rig.out.iter().find(|s| s.id == id).expect("a call is out");
     rig.policy.leave(rig.now, MessageId(id), call.attempt, ReceiverId(call.receiver))
 }
 
 fn told(rig: &mut Rig, receiver: u64, wait: u64) {
-    rig.event(Event::Wait(ReceiverId(receiver), ms(wait)));
+    rig.event(Event::RetryAfter(ReceiverId(receiver), ms(wait)));
 }
 
 /// A message that waits goes when so long has passed, and not before.
@@ -32,14 +32,14 @@
     rig.pass(ms(300));
     rig.answer(2, Verdict::Full(Some(ms(2000))));
     rig.pass(ms(400));
-    assert_eq!(leave(&rig, 1), Leave::Wait);
+    assert_eq!(leave(&rig, 1), SendRecheck::WithinRetryAfter);
     rig.answer(1, Verdict::HeldBack);
     rig.pass(ms(1590));
     assert_eq!(rig.sends_of(1), 1, "the wait runs");
     rig.pass(ms(100));
     assert_eq!(
         (rig.sends_of(1), leave(&rig, 1)),
-        (2, Leave::Go),
+        (2, SendRecheck::Allowed),
         "it never ran, so even this one may go again"
     );
     rig.answer(1, Verdict::Delivered);
@@ -52,7 +52,11 @@
     rig.submit(1, SAFE, 1);
     for _ in 0..5 {
         rig.answer(1, Verdict::HeldBack);
-        assert_eq!(leave(&rig, 1), Leave::Go, "with the one slot that there is, under a number of its own");
+        assert_eq!(
+            leave(&rig, 1),
+            SendRecheck::Allowed,
+            "with the one slot that there is, under a number of its own"
+        );
     }
     rig.answer(1, Verdict::Error);
     rig.pass(ms(3000));
@@ -83,8 +87,16 @@
     let mut rig = Rig::new(settings(), vec![entry(1, 1, 0, 0)]);
     let verdict = Verdict::Full(Some(ms(900)));
     let (id, receiver, elapsed) = (MessageId(77), ReceiverId(1), ms(50));
-    let late =
-        Outcome { id, attempt: 3, receiver, verdict, elapsed, finished: true, limit: None, left: None };
+    let late = Outcome {
+        id,
+        attempt: 3,
+        receiver,
+        verdict,
+        elapsed,
+        finished: true,
+        limit_per_s: None,
+        remaining_share: None,
+    };
     rig.event(Event::Outcome(late));
     rig.submit(2, SAFE, 1);
     assert_eq!(rig.sends_of(2), 0);
@@ -114,7 +126,7 @@
 /// It goes and comes, alone or with all others; its routes become apart, or one.
 #[test]
 fn a_wait_outlives_what_the_list_does_meanwhile() {
-    let gone = |kind| Entry { listing: Listing::Gone, ..entry(1, 1, kind, 0) };
+    let gone = |kind| ListEntry { state: EntryState::Gone, ..entry(1, 1, kind, 0) };
     for (before, after) in [(0, 0), (APART, APART), (0, APART), (APART, 0)] {
         let mut rig = Rig::new(settings(), vec![entry(1, 1, before, 0)]);
         told(&mut rig, 1, 90_000);
--- a/tests/waking.rs
+++ b/tests/waking.rs
@@ -13,32 +13,35 @@
 fn settings() -> Settings {
     Settings {
         classes: vec![ClassSettings {
-            aim: s(1.0),
-            give_up: s(20.0),
+            target_latency: s(1.0),
+            give_up_after: s(20.0),
             effect: Effect::Safe,
-            worth: 1.0,
+            value: 1.0,
             ..ClassSettings::default()
         }],
-        kinds: vec![KindSettings { apart: false, batch: 1 }, KindSettings { apart: true, batch: 1 }],
+        kinds: vec![
+            KindSettings { separate_routes: false, messages_per_call: 1 },
+            KindSettings { separate_routes: true, messages_per_call: 1 },
+        ],
         slots: 24,
         max_held: 1000,
         max_attempts: 12,
-        senders: 1,
-        retry_after: true,
+        sender_count: 1,
+        send_retry_after: true,
         max_retry_after: s(3.0),
         weights: Weights::Rough,
-        fall_multiple: 2.0,
-        fall_window: s(3.0),
-        cold_from: 0.17,
-        warm_within: s(12.0),
+        collapse_multiple: 2.0,
+        collapse_window: s(3.0),
+        cold_start_share: 0.17,
+        warm_up_time: s(12.0),
         ..Settings::default()
     }
 }
 
-fn entry(receiver: u64, kind: usize, weight: f64) -> Entry {
-    Entry {
+fn entry(receiver: u64, kind: usize, weight: f64) -> ListEntry {
+    ListEntry {
         receiver: ReceiverId(receiver),
-        listing: Listing::Ready,
+        state: EntryState::Ready,
         destination: DestinationId(1),
         kind: KindId(kind),
         zone: ZoneId(0),
@@ -102,9 +105,9 @@
             id: MessageId(id),
             class,
             tenant: None,
-            key: None,
+            ordering_key: None,
             destination,
-            left: s(left),
+            time_left: s(left),
         }));
         id
     }
@@ -117,18 +120,18 @@
                     self.fell |= window as f64 > 2.0 * self.present() * 3.0;
                     let taken = self.open || self.allowance >= 1.0;
                     self.allowance -= f64::from(u8::from(taken));
-                    self.out.insert(id.0, (self.now.after(s(0.02)), taken));
+                    self.out.insert(id.0, (self.now.plus(s(0.02)), taken));
                 }
-                Action::WakeAfter(span) => self.wakes.push(self.now.after(span)),
+                Action::SetTimer(span) => self.wakes.push(self.now.plus(span)),
                 _ => {}
             }
         }
     }
     /// Goes on in steps of 5 ms.
     fn run(&mut self, secs: f64) {
-        let end = self.now.after(s(secs));
+        let end = self.now.plus(s(secs));
         while self.now < end {
-            self.now = self.now.after(s(0.005));
+            self.now = self.now.plus(s(0.005));
             self.allowance = (self.allowance + self.present() * 0.005).min(2.0);
             let now = self.now;
             let due: Vec<_> = self.out.iter().filter(|(_, o)| o.0 <= now).map(|(id, o)| (*id, o.1)).collect();
@@ -143,22 +146,22 @@
                     verdict: if taken { Verdict::Delivered } else { Verdict::Full(None) },
                     elapsed: s(0.02),
                     finished: taken,
-                    limit: None,
-                    left: None,
+                    limit_per_s: None,
+                    remaining_share: None,
                 }));
             }
             let n = self.wakes.len();
             self.wakes.retain(|t| *t > now);
             if self.wakes.len() < n {
-                self.event(Event::Wake);
+                self.event(Event::TimerFired);
             }
             let mut actions = Vec::new();
             self.policy.decide(now, &mut actions);
             self.act(actions);
         }
     }
-    fn wake(&mut self, whole: Repute, weight: f64) {
-        let each = vec![(entry(1, 0, weight), Repute::default())];
+    fn wake(&mut self, whole: RetainedHealth, weight: f64) {
+        let each = vec![(entry(1, 0, weight), RetainedHealth::default())];
         self.policy.wake(self.now, DestinationId(1), whole, each, 10.0);
     }
 }
@@ -176,7 +179,7 @@
 #[test]
 fn a_clump_at_opening_meets_a_budget_and_no_storm_of_refusals() {
     let mut woken = World::new(settings());
-    woken.wake(Repute { served: 60.0, ..Repute::default() }, 50.0);
+    woken.wake(RetainedHealth { served_per_s: 60.0, ..RetainedHealth::default() }, 50.0);
     clump(&mut woken);
     let mut plain = World::new(settings());
     plain.event(Event::FullList(vec![entry(1, 0, 50.0)]));
@@ -189,9 +192,9 @@
 /// Nothing but the budget holds back where no refusal tells of a limit: it warms more slowly than a pace may rise.
 #[test]
 fn one_that_refuses_nothing_does_not_fall_over() {
-    let mut w = World::new(Settings { warm_within: s(40.0), ..settings() });
+    let mut w = World::new(Settings { warm_up_time: s(40.0), ..settings() });
     (w.open, w.warms) = (true, 40.0);
-    w.wake(Repute { served: 30.0, ..Repute::default() }, 50.0);
+    w.wake(RetainedHealth { served_per_s: 30.0, ..RetainedHealth::default() }, 50.0);
     clump(&mut w);
     assert!(!w.fell && w.delivered > 50, "{} {}", w.fell, w.delivered);
 }
@@ -202,8 +205,8 @@
     for (weight, weights, senders) in
         [(50.0, Weights::Rough, 1), (0.0, Weights::Off, 1), (0.0, Weights::Off, 16)]
     {
-        let mut w = World::new(Settings { weights, senders, ..settings() });
-        w.wake(Repute::default(), weight);
+        let mut w = World::new(Settings { weights, sender_count: senders, ..settings() });
+        w.wake(RetainedHealth::default(), weight);
         w.submit(5.0);
         w.run(0.01);
         assert_eq!(w.sent.len(), 1, "at once");
@@ -216,8 +219,8 @@
 #[test]
 fn a_wait_is_heeded_and_what_was_sick_gets_one_trial() {
     let mut w = World::new(settings());
-    let until = w.now.after(s(2.0));
-    w.wake(Repute { wait_until: until, sick: true, served: 40.0 }, 50.0);
+    let until = w.now.plus(s(2.0));
+    w.wake(RetainedHealth { wait_until: until, unhealthy: true, served_per_s: 40.0 }, 50.0);
     for _ in 0..10 {
         w.submit(8.0);
     }
@@ -245,10 +248,10 @@
     }
     w.run(1.0);
     let (whole, each) = w.policy.rest(w.now, DestinationId(1)).unwrap();
-    assert!((8.0..12.0).contains(&whole.served) && !whole.sick, "{whole:?}");
+    assert!((8.0..12.0).contains(&whole.served_per_s) && !whole.unhealthy, "{whole:?}");
     assert_eq!((each.len(), each[0].0), (1, ReceiverId(1)));
     let mut actions = Vec::new();
-    w.policy.decide(w.now.after(s(60.0)), &mut actions);
+    w.policy.decide(w.now.plus(s(60.0)), &mut actions);
     assert!(actions.is_empty(), "it asks for nothing: {actions:?}");
     assert!(w.policy.in_question().next().is_none());
 }
@@ -258,16 +261,16 @@
 fn routes_apart_keep_what_each_was_like() {
     let mut w = World::new(settings());
     let now = w.now;
-    let wait = Repute { wait_until: now.after(s(5.0)), sick: true, served: 3.0 };
-    let each = vec![(entry(1, 1, 9.0), Repute::default()), (entry(2, 1, 9.0), wait)];
-    w.policy.wake(now, DestinationId(1), Repute::default(), each, 10.0);
+    let wait = RetainedHealth { wait_until: now.plus(s(5.0)), unhealthy: true, served_per_s: 3.0 };
+    let each = vec![(entry(1, 1, 9.0), RetainedHealth::default()), (entry(2, 1, 9.0), wait)];
+    w.policy.wake(now, DestinationId(1), RetainedHealth::default(), each, 10.0);
     w.submit(3.0);
     w.submit(3.0);
     w.run(2.0);
     let (_, each) = w.policy.rest(w.now, DestinationId(1)).unwrap();
     let of = |n| each.iter().find(|e| e.0 == ReceiverId(n)).unwrap().1;
     assert_eq!(
-        (of(2).wait_until, of(2).sick, of(1).wait_until, of(1).sick),
+        (of(2).wait_until, of(2).unhealthy, of(1).wait_until, of(1).unhealthy),
         (wait.wait_until, true, Micros(0), false)
     );
     assert_eq!(w.delivered, 2, "over the other route");
@@ -277,13 +280,13 @@
 fn a_route_that_is_back_with_a_wait_is_not_used_before() {
     let mut w = World::new(settings());
     w.event(Event::FullList(vec![entry(1, 1, 9.0)]));
-    let wait = Repute { wait_until: w.now.after(s(1.0)), ..Repute::default() };
+    let wait = RetainedHealth { wait_until: w.now.plus(s(1.0)), ..RetainedHealth::default() };
     w.policy.recall(w.now, ReceiverId(1), wait);
     w.submit(5.0);
     w.run(0.99);
     assert!(w.sent.is_empty());
     w.run(0.1);
     assert_eq!(w.sent.len(), 1);
-    w.policy.recall(w.now, ReceiverId(1), Repute { sick: true, ..Repute::default() });
+    w.policy.recall(w.now, ReceiverId(1), RetainedHealth { unhealthy: true, ..RetainedHealth::default() });
     assert_eq!(w.policy.in_question().count(), 1);
 }
--- a/tower/src/lib.rs
+++ b/tower/src/lib.rs
@@ -106,7 +106,7 @@
         let mut actions = Vec::new();
         while inner.wakes.first().is_some_and(|t| *t <= now) {
             inner.wakes.pop_first();
-            inner.policy.on_event(now, Event::Wake, &mut actions);
+            inner.policy.on_event(now, Event::TimerFired, &mut actions);
         }
         for event in events {
             inner.policy.on_event(now, event, &mut actions);
@@ -145,7 +145,7 @@
 impl Inner {
     fn carry_out(&mut self, now: Micros, action: Action) {
         let (id, order) = match action {
-            Action::Send { id, receiver, patience } => {
+            Action::Send { id, receiver, timeout: patience } => {
                 *self.attempts.entry(id.0).or_insert(0) += 1;
                 (id, Order::Call { receiver, patience })
             }
@@ -153,16 +153,16 @@
                 (id, Order::Refused(retry_after.map(|w| Duration::from_micros(w.0))))
             }
             Action::Fail(id) => (id, Order::Failed),
-            Action::WakeAfter(span) => {
-                self.wakes.insert(now.after(span));
+            Action::SetTimer(span) => {
+                self.wakes.insert(now.plus(span));
                 return;
             }
             // The list is the caller's to give, connections are the inner service's, senders share nothing.
-            Action::CallOff { .. }
-            | Action::Follow
-            | Action::CloseIdle(_)
-            | Action::Tell(_)
-            | Action::Sick { .. } => return,
+            Action::CancelAttempt { .. }
+            | Action::RequestList
+            | Action::CloseIdleConnections(_)
+            | Action::SendPeerHint(_)
+            | Action::LogUnhealthy { .. } => return,
         };
         if let Some(orders) = self.orders.get(&id.0) {
             let _ = orders.try_send(order);
@@ -179,11 +179,12 @@
 
 impl<J> PaceLayer<J> {
     /// The list may be empty at first; see [`PaceLayer::list`].
-    pub fn new(settings: Settings, list: Vec<Entry>, seed: u64, judge: J) -> PaceLayer<J> {
+    pub fn new(settings: Settings, list: Vec<ListEntry>, seed: u64, judge: J) -> PaceLayer<J> {
         let most = settings.max_held as usize;
-        let give_up = settings.classes.iter().map(|c| c.give_up).collect();
+        let give_up = settings.classes.iter().map(|c| c.give_up_after).collect();
         // A request is one future here, which makes one call at a time and ends it by itself.
-        let settings = Settings { subscribe: false, second_copies: false, cancel: false, ..settings };
+        let settings =
+            Settings { subscribe_to_list: false, second_copies: false, allow_cancel: false, ..settings };
         let inner = Inner {
             policy: PolicyEngine::new(settings, seed),
             most,
@@ -198,7 +199,7 @@
         layer
     }
     /// The whole list, as it is now.
-    pub fn list(&self, list: Vec<Entry>) {
+    pub fn list(&self, list: Vec<ListEntry>) {
         self.shared.tell([Event::FullList(list)]);
     }
 }
@@ -232,7 +233,16 @@
         let elapsed = self.shared.now().since(sent);
         let (id, finished) = (MessageId(self.id), verdict == Verdict::Delivered);
         let (limit, left) = (None, None);
-        Some(Event::Outcome(Outcome { id, attempt, receiver, verdict, elapsed, finished, limit, left }))
+        Some(Event::Outcome(Outcome {
+            id,
+            attempt,
+            receiver,
+            verdict,
+            elapsed,
+            finished,
+            limit_per_s: limit,
+            remaining_share: left,
+        }))
     }
 }
 
@@ -297,9 +307,9 @@
         id: MessageId(id),
         class: request.class(),
         tenant: request.tenant(),
-        key: None,
+        ordering_key: None,
         destination: request.destination(),
-        left,
+        time_left: left,
     })]);
     let mut last = None;
     loop {
@@ -315,8 +325,10 @@
                     }
                     // The inner service may have made it wait: a wait may have been told meanwhile, a time be up.
                     match shared.lock().policy.leave(shared.now(), MessageId(id), attempt, receiver) {
-                        Leave::Go => {}
-                        Leave::Wait | Leave::Late | Leave::Over => return None,
+                        SendRecheck::Allowed => {}
+                        SendRecheck::WithinRetryAfter
+                        | SendRecheck::NoLongerAllowed
+                        | SendRecheck::MessageEnded => return None,
                     }
                     Some(service.call(call).await)
                 };
--- a/tower/tests/layer.rs
+++ b/tower/tests/layer.rs
@@ -67,27 +67,27 @@
 
 fn settings() -> Settings {
     let class_of = |effect| ClassSettings {
-        aim: Micros(1_000_000),
-        give_up: Micros(20_000_000),
+        target_latency: Micros(1_000_000),
+        give_up_after: Micros(20_000_000),
         effect,
-        worth: 1.0,
+        value: 1.0,
         ..ClassSettings::default()
     };
     Settings {
         classes: vec![class_of(Effect::Safe), class_of(Effect::Unsafe)],
-        kinds: vec![KindSettings { apart: false, batch: 1 }],
+        kinds: vec![KindSettings { separate_routes: false, messages_per_call: 1 }],
         slots: 4,
         max_held: 10,
         max_attempts: 3,
-        senders: 1,
+        sender_count: 1,
         ..Settings::default()
     }
 }
 
-fn entry() -> Entry {
-    Entry {
+fn entry() -> ListEntry {
+    ListEntry {
         receiver: ReceiverId(7),
-        listing: Listing::Ready,
+        state: EntryState::Ready,
         destination: DestinationId(1),
         kind: KindId(0),
         zone: ZoneId(0),
