--- a/src/core/ledger.rs
+++ b/src/core/ledger.rs
@@ -93,17 +93,17 @@
 
     /// Destinations that the module doubts.
     pub fn unconfirmed_destinations(&self) -> impl Iterator<Item = DestinationId> {
-        self.policy.in_question()
+        self.policy.unconfirmed_destinations()
     }
 
     /// An endpoint of a destination in use is back in the list; see [`PolicyEngine::recall`].
     pub fn restore_receiver(&mut self, now: Micros, to: ReceiverId, repute: RetainedHealth) {
-        self.policy.recall(now, to, repute);
+        self.policy.restore_receiver(now, to, repute);
     }
 
     /// An endpoint was restarted; see [`PolicyEngine::restarted`].
     pub fn on_receiver_restart(&mut self, now: Micros, to: ReceiverId) {
-        self.policy.restarted(now, to);
+        self.policy.on_receiver_restart(now, to);
     }
 
     /// Has the module make one call to a destination, with nothing in it: it keeps every rule that a request's call
@@ -144,7 +144,7 @@
 
     /// An attempt is about to leave; see [`PolicyEngine::leave`].
     pub fn recheck_send(&self, now: Micros, n: u64, attempt: u32, to: ReceiverId) -> SendRecheck {
-        self.policy.leave(now, MessageId(n), attempt, to)
+        self.policy.recheck_send(now, MessageId(n), attempt, to)
     }
 
     /// What another sender was asked to tell of an endpoint that has this number here.
@@ -301,7 +301,7 @@
     pub fn deactivate(
         &mut self, now: Micros, destination: u64,
     ) -> Option<(RetainedHealth, Vec<(ReceiverId, RetainedHealth)>)> {
-        self.policy.rest(now, DestinationId(destination))
+        self.policy.deactivate(now, DestinationId(destination))
     }
 
     /// Takes a destination in that has rested; see [`PolicyEngine::wake`].
@@ -309,7 +309,7 @@
         &mut self, now: Micros, destination: u64, whole: RetainedHealth,
         each: Vec<(ListEntry, RetainedHealth)>, assumed: f64,
     ) {
-        self.policy.wake(now, DestinationId(destination), whole, each, assumed);
+        self.policy.activate(now, DestinationId(destination), whole, each, assumed);
     }
 
     /// An attempt is about to be made: its record.
@@ -354,7 +354,7 @@
 
     /// Until when the rules let an attempt go that the module has decided on.
     pub fn send_deadline(&self, n: u64, attempt: u32) -> Option<Micros> {
-        self.policy.sends_end(MessageId(n), attempt)
+        self.policy.send_deadline(MessageId(n), attempt)
     }
 
     /// The attempt could not be put in the log, and was not made.
--- a/src/policy/idle.rs
+++ b/src/policy/idle.rs
@@ -10,7 +10,7 @@
 impl PolicyEngine {
     /// Takes a destination out, if nothing is held or out for it: what it was like, and what its receivers were like.
     /// None if it cannot rest now, and then it is as before.
-    pub fn rest(
+    pub fn deactivate(
         &mut self, now: Micros, id: DestinationId,
     ) -> Option<(RetainedHealth, Vec<(ReceiverId, RetainedHealth)>)> {
         let Some(d) = self.destinations.get(&id) else { return Some(Default::default()) };
@@ -37,7 +37,7 @@
 
     /// Takes a destination in that has rested, with what is still known of it and of its receivers. `assumed` is what
     /// it takes, in calls a second from all senders together, where neither the list nor memory says.
-    pub fn wake(
+    pub fn activate(
         &mut self, now: Micros, id: DestinationId, whole: RetainedHealth,
         each: Vec<(ListEntry, RetainedHealth)>, assumed: f64,
     ) {
@@ -65,7 +65,7 @@
     }
 
     /// A receiver of a destination in use is back in the list, and this is still known of it.
-    pub fn recall(&mut self, now: Micros, to: ReceiverId, repute: RetainedHealth) {
+    pub fn restore_receiver(&mut self, now: Micros, to: ReceiverId, repute: RetainedHealth) {
         let Some(r) = self.receivers.get_mut(&to) else { return };
         r.pace.wait_until = r.pace.wait_until.max(repute.wait_until);
         if repute.unhealthy && r.health == Health::Well {
@@ -78,7 +78,7 @@
 
     /// A receiver that is ready again was restarted meanwhile, as operators do: a trial has to show that it is up, and
     /// then it is cold. All senders learn of it at one moment, so the trial falls anywhere in its gap by chance.
-    pub fn restarted(&mut self, now: Micros, to: ReceiverId) {
+    pub fn on_receiver_restart(&mut self, now: Micros, to: ReceiverId) {
         let phase = self.rng.roll();
         let Some(r) = self.receivers.get_mut(&to) else { return };
         let Some(d) = self.destinations.get_mut(&r.destination) else { return };
--- a/src/policy/intake.rs
+++ b/src/policy/intake.rs
@@ -245,7 +245,7 @@
     }
 
     /// Destinations with a receiver that is doubted: worth a look.
-    pub fn in_question(&self) -> impl Iterator<Item = DestinationId> {
+    pub fn unconfirmed_destinations(&self) -> impl Iterator<Item = DestinationId> {
         let doubted = |d: &Destination| {
             let mut known = d.receivers.iter().filter_map(|r| self.receivers.get(r));
             known.any(|r| r.listing == EntryState::Ready && r.doubted(d))
--- a/src/policy/sending.rs
+++ b/src/policy/sending.rs
@@ -155,13 +155,13 @@
     }
 
     /// Until when the rules let an attempt go.
-    pub fn sends_end(&self, id: MessageId, attempt: u32) -> Option<Micros> {
+    pub fn send_deadline(&self, id: MessageId, attempt: u32) -> Option<Micros> {
         Some(self.held.get(&id)?.sends_end(&self.set, Some(attempt)))
     }
 
     /// A call is about to leave: what was decided when it was queued is asked again, for it may have waited for its
     /// connection meanwhile. Whoever drains is the caller's to say, who knows when that was told.
-    pub fn leave(&self, now: Micros, id: MessageId, attempt: u32, to: ReceiverId) -> SendRecheck {
+    pub fn recheck_send(&self, now: Micros, id: MessageId, attempt: u32, to: ReceiverId) -> SendRecheck {
         let Some(m) = self.held.get(&id).filter(|m| !m.ended) else { return SendRecheck::MessageEnded };
         let out = m.out.iter().any(|a| a.number == attempt);
         let known = self.receivers.get(&to).zip(self.destinations.get(&m.destination));
--- a/src/policy/tuning.rs
+++ b/src/policy/tuning.rs
@@ -27,7 +27,7 @@
 pub(super) const BURST_TOKENS: f64 = 1.0;
 pub(super) const SERVED_MEMORY_S: f64 = 1.0; // of the rate that control starts from
 pub(super) const RATE_MEMORY_S: f64 = 3.0; // time constant of the rate meters
-pub(super) const MEMORY_MOST_S: f64 = 30.0;
+pub(super) const RATE_MEMORY_MAX_S: f64 = 30.0;
 pub(super) const YOUNG_S: f64 = 1.0; // a meter's least age
 pub(super) const FLEET: u32 = 16; // beyond it, told of nothing, a sender sees too little to wait for more than ...
 pub(super) const FLEET_BURST: usize = 2; // ... so many refusals, and keeps so many calls for its own clumps:
@@ -93,12 +93,12 @@
     pub(super) fn of(set: &Settings) -> Scale {
         let senders = f64::from(set.sender_count.max(1));
         let fleet = set.sender_count > FLEET && !set.peer_hints;
-        let span_most = if fleet { MEMORY_MOST_S } else { BURST_SPAN_MOST_S };
+        let span_most = if fleet { RATE_MEMORY_MAX_S } else { BURST_SPAN_MOST_S };
         let stretch = |secs: f64, most: f64| (secs * senders / FEW_SENDERS).clamp(secs, most);
         Scale {
             burst_span: Micros::from_secs(stretch(BURST_SPAN_S, span_most)),
-            served_memory: Memory { secs: stretch(SERVED_MEMORY_S, MEMORY_MOST_S), young: YOUNG_S },
-            rate_memory: Memory { secs: stretch(RATE_MEMORY_S, MEMORY_MOST_S), young: YOUNG_S },
+            served_memory: Memory { secs: stretch(SERVED_MEMORY_S, RATE_MEMORY_MAX_S), young: YOUNG_S },
+            rate_memory: Memory { secs: stretch(RATE_MEMORY_S, RATE_MEMORY_MAX_S), young: YOUNG_S },
             refused_pause: stretch(REFUSED_PAUSE_S, REFUSED_PAUSE_MOST_S),
             shut_refusals: SHUT_REFUSALS - if fleet { 0.0 } else { (senders / FEW_SENDERS).max(1.0).log2() },
             shut_span: if fleet { FLEET_SHUT_SPAN } else { SHUT_SPAN },
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -143,7 +143,7 @@
         for (id, (attempt, receiver)) in
             all.into_iter().flat_map(|(id, up)| up.into_iter().map(move |u| (id, u)))
         {
-            let says = policy.leave(now, MessageId(id), attempt, ReceiverId(receiver));
+            let says = policy.recheck_send(now, MessageId(id), attempt, ReceiverId(receiver));
             let m = self.messages.get_mut(&id).expect("a known message");
             if says == SendRecheck::Allowed || !gate {
                 let call = m.out.iter_mut().find(|o| o.0 == attempt).expect("a call is out");
--- a/tests/short_window.rs
+++ b/tests/short_window.rs
@@ -90,7 +90,7 @@
     let repeat = rig.out.first().cloned().expect("the repeat is decided on");
     let leave = |rig: &Rig, after: u64| {
         let at = rig.sent[0].at.plus(ms(after));
-        rig.policy.leave(at, MessageId(1), repeat.attempt, ReceiverId(repeat.receiver))
+        rig.policy.recheck_send(at, MessageId(1), repeat.attempt, ReceiverId(repeat.receiver))
     };
     // A sender may be held up for 0.15 s between this look and the first byte.
     assert_eq!(leave(&rig, 840), SendRecheck::Allowed);
--- a/tests/waits.rs
+++ b/tests/waits.rs
@@ -8,7 +8,7 @@
 
 fn leave(rig: &Rig, id: u64) -> SendRecheck {
     let call = rig.out.iter().find(|s| s.id == id).expect("a call is out");
-    rig.policy.leave(rig.now, MessageId(id), call.attempt, ReceiverId(call.receiver))
+    rig.policy.recheck_send(rig.now, MessageId(id), call.attempt, ReceiverId(call.receiver))
 }
 
 fn told(rig: &mut Rig, receiver: u64, wait: u64) {
--- a/tests/waking.rs
+++ b/tests/waking.rs
@@ -162,7 +162,7 @@
     }
     fn wake(&mut self, whole: RetainedHealth, weight: f64) {
         let each = vec![(entry(1, 0, weight), RetainedHealth::default())];
-        self.policy.wake(self.now, DestinationId(1), whole, each, 10.0);
+        self.policy.activate(self.now, DestinationId(1), whole, each, 10.0);
     }
 }
 
@@ -236,24 +236,24 @@
 fn a_destination_rests_only_when_nothing_is_held_or_out_and_leaves_nothing_behind() {
     let mut w = World::new(settings());
     w.event(Event::FullList(vec![entry(1, 0, 50.0)]));
-    assert!(w.policy.rest(w.now, DestinationId(9)).is_some(), "nothing is known of it");
+    assert!(w.policy.deactivate(w.now, DestinationId(9)).is_some(), "nothing is known of it");
     w.submit(5.0);
-    assert!(w.policy.rest(w.now, DestinationId(1)).is_none(), "held");
+    assert!(w.policy.deactivate(w.now, DestinationId(1)).is_none(), "held");
     w.run(0.01);
-    assert!(w.policy.rest(w.now, DestinationId(1)).is_none(), "out");
+    assert!(w.policy.deactivate(w.now, DestinationId(1)).is_none(), "out");
     w.run(1.0);
     for _ in 0..200 {
         w.submit(5.0);
         w.run(0.1);
     }
     w.run(1.0);
-    let (whole, each) = w.policy.rest(w.now, DestinationId(1)).unwrap();
+    let (whole, each) = w.policy.deactivate(w.now, DestinationId(1)).unwrap();
     assert!((8.0..12.0).contains(&whole.served_per_s) && !whole.unhealthy, "{whole:?}");
     assert_eq!((each.len(), each[0].0), (1, ReceiverId(1)));
     let mut actions = Vec::new();
     w.policy.decide(w.now.plus(s(60.0)), &mut actions);
     assert!(actions.is_empty(), "it asks for nothing: {actions:?}");
-    assert!(w.policy.in_question().next().is_none());
+    assert!(w.policy.unconfirmed_destinations().next().is_none());
 }
 
 /// Routes apart have waits of their own, which go to rest with each.
@@ -263,11 +263,11 @@
     let now = w.now;
     let wait = RetainedHealth { wait_until: now.plus(s(5.0)), unhealthy: true, served_per_s: 3.0 };
     let each = vec![(entry(1, 1, 9.0), RetainedHealth::default()), (entry(2, 1, 9.0), wait)];
-    w.policy.wake(now, DestinationId(1), RetainedHealth::default(), each, 10.0);
+    w.policy.activate(now, DestinationId(1), RetainedHealth::default(), each, 10.0);
     w.submit(3.0);
     w.submit(3.0);
     w.run(2.0);
-    let (_, each) = w.policy.rest(w.now, DestinationId(1)).unwrap();
+    let (_, each) = w.policy.deactivate(w.now, DestinationId(1)).unwrap();
     let of = |n| each.iter().find(|e| e.0 == ReceiverId(n)).unwrap().1;
     assert_eq!(
         (of(2).wait_until, of(2).unhealthy, of(1).wait_until, of(1).unhealthy),
@@ -281,12 +281,16 @@
     let mut w = World::new(settings());
     w.event(Event::FullList(vec![entry(1, 1, 9.0)]));
     let wait = RetainedHealth { wait_until: w.now.plus(s(1.0)), ..RetainedHealth::default() };
-    w.policy.recall(w.now, ReceiverId(1), wait);
+    w.policy.restore_receiver(w.now, ReceiverId(1), wait);
     w.submit(5.0);
     w.run(0.99);
     assert!(w.sent.is_empty());
     w.run(0.1);
     assert_eq!(w.sent.len(), 1);
-    w.policy.recall(w.now, ReceiverId(1), RetainedHealth { unhealthy: true, ..RetainedHealth::default() });
-    assert_eq!(w.policy.in_question().count(), 1);
+    w.policy.restore_receiver(
+        w.now,
+        ReceiverId(1),
+        RetainedHealth { unhealthy: true, ..RetainedHealth::default() },
+    );
+    assert_eq!(w.policy.unconfirmed_destinations().count(), 1);
 }
--- a/tower/src/lib.rs
+++ b/tower/src/lib.rs
@@ -324,7 +324,7 @@
                         return Some(Err(e));
                     }
                     // The inner service may have made it wait: a wait may have been told meanwhile, a time be up.
-                    match shared.lock().policy.leave(shared.now(), MessageId(id), attempt, receiver) {
+                    match shared.lock().policy.recheck_send(shared.now(), MessageId(id), attempt, receiver) {
                         SendRecheck::Allowed => {}
                         SendRecheck::WithinRetryAfter
                         | SendRecheck::NoLongerAllowed
