--- a/daemon/src/beside.rs
+++ b/daemon/src/beside.rs
@@ -3,7 +3,7 @@
 
 use crate::folder::{Claim, Left, Other, remove};
 use crate::module::ToModule;
-use crate::net::Shared;
+use crate::net::SharedState;
 use crate::shared_waits::WaitReader;
 use async_io::Timer;
 use std::rc::Rc;
@@ -17,13 +17,13 @@
 const LOOK_BESIDE: Duration = Duration::from_millis(20);
 
 /// Runs for as long as the process: its place is its own until then.
-pub async fn follow(shared: Rc<Shared>, claim: Claim, other_is_there: bool, upgrades: bool) {
+pub async fn follow(shared: Rc<SharedState>, claim: Claim, other_is_there: bool, upgrades: bool) {
     let follower = Follower { shared, claim, waits: None };
     follower.run(other_is_there, upgrades).await;
 }
 
 struct Follower {
-    shared: Rc<Shared>,
+    shared: Rc<SharedState>,
     claim: Claim,
     /// While another process is there.
     waits: Option<WaitReader>,
@@ -62,7 +62,7 @@
             let [own, _] = self.claim.waits();
             self.waits = Some(self.reader());
             tracing::info!("another process of this forwarder is there");
-            let _ = self.shared.module.send(ToModule::Beside(Some(own))).await;
+            let _ = self.shared.core.send(ToModule::Beside(Some(own))).await;
         }
         self.hear().await;
     }
@@ -73,7 +73,7 @@
         match reader.read(&self.shared.clock) {
             Ok(told) => {
                 for one in told {
-                    let _ = self.shared.module.send(ToModule::HeardBeside(one)).await;
+                    let _ = self.shared.core.send(ToModule::HeardBeside(one)).await;
                 }
             }
             Err(e) => tracing::warn!("waits: the other process's cannot be read: {e}"),
@@ -87,10 +87,10 @@
         if self.waits.take().is_some() {
             let [_, others] = self.claim.waits();
             let _ = remove(&others);
-            let _ = self.shared.module.send(ToModule::Beside(None)).await;
+            let _ = self.shared.core.send(ToModule::Beside(None)).await;
         }
         if left.is_there() && !self.shared.stopping.get() {
-            let _ = self.shared.module.send(ToModule::Adopt(left)).await;
+            let _ = self.shared.core.send(ToModule::Adopt(left)).await;
         }
     }
 }
--- a/daemon/src/invariants.rs
+++ b/daemon/src/invariants.rs
@@ -116,7 +116,7 @@
 
     /// The first byte of a call is about to leave.
     pub fn sends(&self, now: Micros, call: &OutboundCall, permit: &Permit) {
-        let told = self.told.borrow().get(&call.to).copied().unwrap_or_default();
+        let told = self.told.borrow().get(&call.receiver).copied().unwrap_or_default();
         if told.drained.is_some_and(|at| now.since(at) > DRAIN_GRACE) {
             violated(&self.drain, call, "a call to an endpoint that drains or is gone");
         }
@@ -129,10 +129,10 @@
         if permit.repeat && now > permit.valid_until {
             violated(&self.late_attempt, call, "a call after its time");
         }
-        if permit.repeat && call.harmful {
+        if permit.repeat && call.unsafe_to_repeat {
             violated(&self.repeat, call, "a repeat that may take effect again");
         }
-        if !permit.logged && call.probe.is_none() {
+        if !permit.logged && call.probe_path.is_none() {
             violated(&self.unlogged, call, "a call that is not in the log");
         }
     }
@@ -167,7 +167,7 @@
 
 fn violated(count: &Count, call: &OutboundCall, what: &str) {
     count.up();
-    tracing::error!(id = call.id, attempt = call.attempt, to = call.to.0, "violation: {what}");
+    tracing::error!(id = call.id, attempt = call.attempt, to = call.receiver.0, "violation: {what}");
 }
 
 /// A request that was read and is owed an answer: dropped without one, it counts as a violation.
--- a/daemon/src/invariants/tests.rs
+++ b/daemon/src/invariants/tests.rs
@@ -10,19 +10,19 @@
 
 fn call(harmful: bool) -> OutboundCall {
     OutboundCall {
-        n: 1,
+        number: 1,
         attempt: 0,
-        to: TO,
+        receiver: TO,
         endpoint: "e1".into(),
         id: "m1".into(),
-        key: String::new(),
-        note: String::new(),
+        idempotency_key: String::new(),
+        frontend_note: String::new(),
         body: Vec::new(),
         started: START,
-        patience: Micros(1_000_000),
-        harmful,
-        probe: None,
-        called_off: None,
+        timeout: Micros(1_000_000),
+        unsafe_to_repeat: harmful,
+        probe_path: None,
+        cancellation: None,
     }
 }
 
--- a/daemon/src/keep.rs
+++ b/daemon/src/keep.rs
@@ -1,7 +1,7 @@
 //! Small files of the folder that lasts: what is remembered of destinations at rest, whose loss costs only caution, and
 //! the bound of the epochs that this instance has promised as a voter.
 
-use crate::net::Shared;
+use crate::net::SharedState;
 use async_channel::Receiver;
 use futures_lite::future;
 use onyxrock_duties as duties;
@@ -34,7 +34,9 @@
 }
 
 /// Writes each of these in place of the last, in slices: nobody waits for all of it.
-pub async fn run(shared: Rc<Shared>, folder: PathBuf, most: usize, inbox: Receiver<Vec<(Whose, Memory)>>) {
+pub async fn run(
+    shared: Rc<SharedState>, folder: PathBuf, most: usize, inbox: Receiver<Vec<(Whose, Memory)>>,
+) {
     while let Ok(all) = inbox.recv().await {
         match write(&folder, most, all).await {
             Ok(()) => shared.counters.idle_kept.up(),
--- a/daemon/src/list/dns.rs
+++ b/daemon/src/list/dns.rs
@@ -2,7 +2,7 @@
 
 use super::zone::Zone;
 use crate::module::ToModule;
-use crate::net::Shared;
+use crate::net::SharedState;
 use async_channel::Receiver;
 use async_io::Async;
 use futures_lite::future;
@@ -14,13 +14,13 @@
 
 /// The largest zone that is kept in the folder that lasts, where it stands twice while a new one is written: four times
 /// the one in the file, up to an eighth of the folder; 64 KiB at least.
-pub fn kept_most(zone: &str, disk_bytes: u64) -> u64 {
+pub fn max_kept_zone_bytes(zone: &str, disk_bytes: u64) -> u64 {
     (4 * zone.len() as u64).min(disk_bytes / 8).max(64 * 1024)
 }
 
 const NAME: &str = "onyxrock.zone";
 
-pub struct Dns {
+pub struct DnsServer {
     pub zone: Zone,
     pub names: NameIndex,
     pub socket: Async<UdpSocket>,
@@ -28,11 +28,11 @@
     most: u64,
 }
 
-impl Dns {
+impl DnsServer {
     /// The zone as an earlier process kept it, where that is later than the file.
     pub fn open(
         text: &str, origin: &str, listen: SocketAddr, folder: PathBuf, most: u64, names: NameIndex,
-    ) -> Result<Dns, String> {
+    ) -> Result<DnsServer, String> {
         let mut zone = Zone::parse(text, origin)?;
         if let Ok(kept) = std::fs::read_to_string(folder.join(NAME)) {
             match Zone::parse(&kept, origin) {
@@ -43,7 +43,7 @@
         }
         let socket = Async::<UdpSocket>::bind(listen)
             .map_err(|e| format!("cannot listen on {listen} for DNS: {e}"))?;
-        Ok(Dns { zone, names, socket, folder, most })
+        Ok(DnsServer { zone, names, socket, folder, most })
     }
 
     /// An update is answered once it would survive this process.
@@ -90,7 +90,7 @@
 }
 
 /// Each wish of the module, and each update, is answered with the whole list.
-pub async fn run(shared: Rc<Shared>, mut dns: Dns, wishes: Receiver<()>) {
+pub async fn run(shared: Rc<SharedState>, mut dns: DnsServer, wishes: Receiver<()>) {
     let mut bytes = vec![0; 64 * 1024];
     loop {
         let wish = async { wishes.recv().await.ok().map(|()| None) };
@@ -113,9 +113,9 @@
         };
         if tell {
             shared.counters.list_answers.up();
-            let (list, wrong) = dns.zone.list(&dns.names);
+            let (list, wrong) = dns.zone.endpoints(&dns.names);
             wrong.iter().for_each(|w| tracing::warn!("dns: {w}"));
-            if shared.module.send(ToModule::List(list)).await.is_err() {
+            if shared.core.send(ToModule::List(list)).await.is_err() {
                 return;
             }
         }
--- a/daemon/src/list/fetch.rs
+++ b/daemon/src/list/fetch.rs
@@ -1,6 +1,6 @@
 //! One call to discovery: the request, its time-outs, and the list that comes as its answer.
 
-use super::{Discovery, GRACE, PIECE, endpoint};
+use super::{DiscoveryParams, GRACE, PIECE, roster_endpoint};
 use crate::clock::Clock;
 use crate::net::http::client::{Answer, Conn, Lost};
 use futures_lite::future;
@@ -40,7 +40,7 @@
 /// What one call needs to know.
 pub struct Call<'a> {
     pub clock: &'a Clock,
-    pub discovery: &'a Discovery,
+    pub discovery: &'a DiscoveryParams,
     /// It waits so long for news.
     pub wait: Micros,
     /// A connection may take until then.
@@ -70,7 +70,7 @@
     }
 
     async fn connection(&self, kept: &mut Option<Conn>) -> Result<Conn, Failed> {
-        if let Some(conn) = kept.take().filter(|c| !c.stale()) {
+        if let Some(conn) = kept.take().filter(|c| !c.is_stale()) {
             return Ok(conn);
         }
         let open = self.clock.before(self.connect_by, Conn::open(self.address, PIECE)).await;
@@ -93,7 +93,7 @@
 
     async fn ask(&self, conn: &mut Conn) -> Result<Answer, Failed> {
         conn.write(self.request().as_bytes()).await.map_err(text_of)?;
-        match conn.answer(self.clock, self.answer_by).await {
+        match conn.read_head(self.clock, self.answer_by).await {
             Err(Lost::TimedOut) => Err(late()),
             Err(Lost::Spoilt(why)) => Err(Failed::Silent(why)),
             answer => answer.map_err(|e| text_of(e.into()).into()),
@@ -107,11 +107,11 @@
         let mut entries = Staged::new(most, memory_mb as usize * 1_000_000);
         let mut reader = Reader::new(&self.discovery.names);
         let mut text = Vec::new();
-        let mut body = conn.body(answer, usize::MAX).map_err(|e| Failed::Silent(e.to_string()))?;
+        let mut body = conn.begin_body(answer, usize::MAX).map_err(|e| Failed::Silent(e.to_string()))?;
         // A long list takes its time; one that comes by drops is as good as silence.
         let (mut soon, mut came) = (self.clock.now().plus(GRACE), 0);
         loop {
-            let part = self.clock.before(soon, conn.part(&mut body)).await.ok_or_else(late)?;
+            let part = self.clock.before(soon, conn.read_part(&mut body)).await.ok_or_else(late)?;
             let Some(part) = part.map_err(text_of)? else { break };
             came += part.len();
             if came >= PIECE {
@@ -124,7 +124,7 @@
                 text.extend_from_slice(part);
             }
             reader.feed(part, |l| {
-                entries.push(&endpoint(&l)).map_err(|refused| match refused {
+                entries.push(&roster_endpoint(&l)).map_err(|refused| match refused {
                     Refused::Full => Failed::TooLong(format!(
                         "over {most} entries or {memory_mb} MB, its bounds in [list]"
                     )),
--- a/daemon/src/list/follow.rs
+++ b/daemon/src/list/follow.rs
@@ -1,9 +1,9 @@
 //! Follows discovery: one call after the other, and what becomes of each answer and each failure.
 
 use super::fetch::{Call, Failed, Fetched};
-use super::{Discovery, GRACE, PAUSE, Part};
+use super::{DiscoveryParams, GRACE, ListPart, PAUSE};
 use crate::module::ToModule;
-use crate::net::Shared;
+use crate::net::SharedState;
 use crate::net::http::client::Conn;
 use async_channel::{Receiver, bounded};
 use async_io::Timer;
@@ -40,7 +40,7 @@
 /// Each wish is the module's, to follow the list. Where discovery has moved it is followed there at once. An instance
 /// that is told the list by another asks for itself only what it was not told.
 pub async fn run(
-    shared: Rc<Shared>, discovery: Discovery, wishes: Receiver<()>, moves: Receiver<()>,
+    shared: Rc<SharedState>, discovery: DiscoveryParams, wishes: Receiver<()>, moves: Receiver<()>,
     messages: Receiver<ToList>,
 ) {
     let answered_at = shared.clock.now();
@@ -66,8 +66,8 @@
 }
 
 struct Follower {
-    shared: Rc<Shared>,
-    discovery: Discovery,
+    shared: Rc<SharedState>,
+    discovery: DiscoveryParams,
     wishes: Receiver<()>,
     moves: Receiver<()>,
     messages: Receiver<ToList>,
@@ -115,7 +115,7 @@
         (self.conn, self.discovery.generation, self.confirmed) = (None, None, false);
         // What the module wished for was a call to the old one.
         while self.wishes.try_recv().is_ok() {}
-        self.shared.module.send(ToModule::ListMoved).await.map_err(|_| ModuleGone)
+        self.shared.core.send(ToModule::ListMoved).await.map_err(|_| ModuleGone)
     }
 
     async fn follow(&mut self) -> Result<Next, ModuleGone> {
@@ -177,10 +177,10 @@
     /// silent twice before. A start where lists are pushed sends nothing until it is told the first one: that call never
     /// waits.
     fn wait(&self) -> Micros {
-        let holds_calls = self.discovery.pushed && !self.answered_once;
-        let trusts = self.confirmed || self.discovery.shared_by_many && self.silences < 2 && !holds_calls;
+        let holds_calls = self.discovery.lists_pushed && !self.answered_once;
+        let trusts = self.confirmed || self.discovery.large_fleet && self.silences < 2 && !holds_calls;
         let waits = trusts && self.role != Role::Told && self.discovery.generation.is_some();
-        if waits { self.discovery.wait } else { Micros(0) }
+        if waits { self.discovery.watch_wait } else { Micros(0) }
     }
 
     /// What a call may take beyond its wait: longer for a discovery that may be slow, and no longer than a call or two need
@@ -210,7 +210,7 @@
         };
         self.shared.counters.list_told.up();
         self.discovery.generation = Some(list.generation);
-        self.shared.module.send(ToModule::List(list)).await.map_err(|_| ModuleGone)?;
+        self.shared.core.send(ToModule::List(list)).await.map_err(|_| ModuleGone)?;
         Ok(Next::Call)
     }
 
@@ -282,7 +282,7 @@
         if again {
             return Ok(Next::Call);
         }
-        self.shared.module.send(ToModule::ListFailed { why, at_once }).await.map_err(|_| ModuleGone)?;
+        self.shared.core.send(ToModule::ListFailed { why, at_once }).await.map_err(|_| ModuleGone)?;
         Ok(Next::WaitForModule)
     }
 
@@ -307,20 +307,20 @@
 
     /// Hands a list to the module in parts, so that no turn of it takes long.
     async fn pass(&self, generation: u64, whole: bool, entries: Staged) -> Result<(), ModuleGone> {
-        let send = async |part| self.shared.module.send(ToModule::Part(part)).await.map_err(|_| ModuleGone);
+        let send = async |part| self.shared.core.send(ToModule::Part(part)).await.map_err(|_| ModuleGone);
         if whole {
-            send(Part::Begin).await?;
+            send(ListPart::Begin).await?;
         }
         for block in entries.into_blocks() {
-            send(Part::Entries(block)).await?;
+            send(ListPart::Entries(block)).await?;
             future::yield_now().await;
         }
         let mut swept = !whole;
         while !swept {
             let (reply, done) = bounded(1);
-            send(Part::Sweep(reply)).await?;
+            send(ListPart::Sweep(reply)).await?;
             swept = done.recv().await.map_err(|_| ModuleGone)?;
         }
-        send(Part::End(generation)).await
+        send(ListPart::End(generation)).await
     }
 }
--- a/daemon/src/list/mod.rs
+++ b/daemon/src/list/mod.rs
@@ -18,34 +18,34 @@
 /// A list comes in pieces; so much of it is read at once.
 const PIECE: usize = 64 * 1024;
 /// Records that it looks at in one turn for what a whole list no longer names.
-pub const SWEEP: usize = 2048;
+pub const SWEEP_BATCH_RECORDS: usize = 2048;
 /// What a call may take beyond the wait that it asks for.
 const GRACE: Micros = Micros(1_500_000);
 /// A watch that falls silent shows after its wait and the grace, and then calls that are refused have to fit into the 6 s
 /// in which a change counts as known.
-pub const WAIT_MOST: Micros = Micros(3_000_000);
+pub const MAX_WATCH_WAIT: Micros = Micros(3_000_000);
 /// A watch goes on if the next call comes within 200 ms.
 const PAUSE: Duration = Duration::from_millis(50);
 
 /// How discovery is asked.
-pub struct Discovery {
+pub struct DiscoveryParams {
     pub names: NameIndex,
     /// The version that is held; none before the first list. Versions begin at 0, which is not the same. The list
     /// that a start finds in the file may have been told by another discovery: its version means nothing here.
     pub generation: Option<u64>,
     /// How long a call may wait for news. Shorter than discovery would allow: on a connection that has gone
     /// silent nothing else tells that news is missed.
-    pub wait: Micros,
+    pub watch_wait: Micros,
     /// So many forwarders ask that what each asks at one moment adds up.
-    pub shared_by_many: bool,
+    pub large_fleet: bool,
     /// Lists are pushed: a start holds its calls until it is told the first one.
-    pub pushed: bool,
+    pub lists_pushed: bool,
     pub bounds: Bounds,
 }
 
 /// One part of a list that is too long for one turn of the module.
 #[derive(Debug)]
-pub enum Part {
+pub enum ListPart {
     /// A whole list follows.
     Begin,
     Entries(Block),
@@ -55,7 +55,7 @@
 }
 
 /// An entry of the list, as the table takes it.
-pub fn endpoint(l: &Listed) -> Endpoint<'_> {
+pub fn roster_endpoint(l: &Listed) -> Endpoint<'_> {
     Endpoint {
         name: &l.name,
         address: l.address,
--- a/daemon/src/list/tests.rs
+++ b/daemon/src/list/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::module::ToModule;
-use crate::net::Shared;
+use crate::net::SharedState;
 use async_channel::{Receiver, bounded};
 use async_io::Timer;
 use futures_lite::future;
@@ -17,7 +17,7 @@
 
 /// The list's actor between a discovery and a module that the test plays.
 struct Rig {
-    shared: Rc<Shared>,
+    shared: Rc<SharedState>,
     messages: Receiver<ToModule>,
     wishes: Sender<()>,
     moves: Sender<()>,
@@ -25,10 +25,17 @@
 }
 
 /// A discovery of which nothing is held.
-fn quiet() -> Discovery {
+fn quiet() -> DiscoveryParams {
     let (names, bounds) = (NameIndex::default(), onyxrock_config::idle::Bounds::default());
     let (shared_by_many, pushed, wait) = (false, false, Micros(10_000));
-    Discovery { names, generation: None, wait, shared_by_many, pushed, bounds }
+    DiscoveryParams {
+        names,
+        generation: None,
+        watch_wait: wait,
+        large_fleet: shared_by_many,
+        lists_pushed: pushed,
+        bounds,
+    }
 }
 
 impl Rig {
@@ -36,11 +43,11 @@
         Rig::waiting(at, Micros(10_000))
     }
     fn waiting(at: SocketAddr, wait: Micros) -> Rig {
-        Rig::with(at, Discovery { wait, ..quiet() })
+        Rig::with(at, DiscoveryParams { watch_wait: wait, ..quiet() })
     }
-    fn with(at: SocketAddr, discovery: Discovery) -> Rig {
+    fn with(at: SocketAddr, discovery: DiscoveryParams) -> Rig {
         let (module, messages) = bounded(64);
-        let shared = Shared::alone(module);
+        let shared = SharedState::for_test(module);
         shared.discovery.set(at);
         let ((wishes, wished), (moves, moved), (_roles, roles)) = (bounded(4), bounded(1), bounded(4));
         shared.executor.spawn(run(shared.clone(), discovery, wished, moved, roles)).detach();
@@ -71,8 +78,8 @@
         self.within(async {
             loop {
                 match self.messages.recv().await.ok()? {
-                    ToModule::Part(Part::Sweep(done)) => done.try_send(true).unwrap(),
-                    ToModule::Part(Part::End(generation)) => return Some(generation),
+                    ToModule::Part(ListPart::Sweep(done)) => done.try_send(true).unwrap(),
+                    ToModule::Part(ListPart::End(generation)) => return Some(generation),
                     ToModule::ListFailed { .. } => return None,
                     _ => {}
                 }
@@ -207,7 +214,13 @@
 fn the_first_call_of_a_start_in_a_large_fleet(#[case] pushed: bool, #[case] asks: &str) {
     let (listener, at) = discovery();
     let wait = Micros(20_000_000);
-    let held = Discovery { generation: Some(7), shared_by_many: true, pushed, wait, ..quiet() };
+    let held = DiscoveryParams {
+        generation: Some(7),
+        large_fleet: true,
+        lists_pushed: pushed,
+        watch_wait: wait,
+        ..quiet()
+    };
     let rig = Rig::with(at, held);
     let (_stream, question) = rig.asked(&listener).unwrap();
     assert!(question.contains(asks), "{question}");
--- a/daemon/src/list/zone.rs
+++ b/daemon/src/list/zone.rs
@@ -195,7 +195,7 @@
     }
 
     /// The endpoints that it lists, and a line for each SRV record that names none.
-    pub fn list(&self, names: &NameIndex) -> (List, Vec<String>) {
+    pub fn endpoints(&self, names: &NameIndex) -> (List, Vec<String>) {
         let (mut entries, mut wrong) = (Vec::new(), Vec::new());
         for r in &self.records {
             let RData::SRV(srv) = &r.data else { continue };
@@ -309,7 +309,7 @@
     #[test]
     fn a_zone_file_lists_endpoints_and_comes_back_as_text() {
         let z = zone();
-        let (list, wrong) = z.list(&names());
+        let (list, wrong) = z.endpoints(&names());
         assert!(wrong.is_empty(), "{wrong:?}");
         let e = &list.entries[0];
         assert_eq!(
@@ -330,7 +330,7 @@
         let shown: Vec<_> =
             z.members("_m._udp").unwrap().iter().map(|m| format!("{} {}", m.name, m.address)).collect();
         assert_eq!(shown, ["m1 127.0.0.1:71", "m2 127.0.0.2:70"]);
-        assert_eq!((z.list(&names()).0.entries.len(), z.list(&names()).1.len()), (1, 0));
+        assert_eq!((z.endpoints(&names()).0.entries.len(), z.endpoints(&names()).1.len()), (1, 0));
         assert!(z.members("_x._udp").unwrap_err().contains("no SRV record"));
         let lost = Zone::parse(&text.replace("m1 A 127.0.0.1\n", ""), "partners.example.").unwrap();
         assert!(lost.members("_m._udp").unwrap_err().contains("no address"));
@@ -341,7 +341,7 @@
         let mut z = zone();
         let add = record(DNSClass::IN, "e1", 60, text("state=draining"));
         assert_eq!(z.update(&message(vec![], vec![add.clone()])), (ResponseCode::NoError, true));
-        assert_eq!(z.list(&names()).0.entries[0].entry.state, EntryState::Draining);
+        assert_eq!(z.endpoints(&names()).0.entries[0].entry.state, EntryState::Draining);
         assert_eq!(z.serial(), 8);
         assert_eq!(z.update(&message(vec![], vec![add])), (ResponseCode::NoError, false), "nothing new");
         assert_eq!(z.serial(), 8);
@@ -349,9 +349,9 @@
         let delete = record(DNSClass::ANY, "e1", 0, RData::Update0(RecordType::ANY));
         let foreign = Record::from_rdata(Name::from_ascii("x.example.").unwrap(), 1, text("a"));
         assert_eq!(z.update(&message(vec![], vec![delete.clone(), foreign])), (ResponseCode::NotZone, false));
-        assert_eq!(z.list(&names()).0.entries.len(), 1);
+        assert_eq!(z.endpoints(&names()).0.entries.len(), 1);
         assert_eq!(z.update(&message(vec![], vec![delete])), (ResponseCode::NoError, true));
-        let (list, wrong) = z.list(&names());
+        let (list, wrong) = z.endpoints(&names());
         assert_eq!((list.entries.len(), wrong.len()), (0, 1), "its host has no address any more");
     }
 
@@ -362,7 +362,7 @@
         z.update(&message(vec![], vec![draining]));
         let back = record(DNSClass::NONE, "e1", 0, text("state=draining"));
         assert_eq!(z.update(&message(vec![], vec![back])), (ResponseCode::NoError, true));
-        assert_eq!(z.list(&names()).0.entries[0].entry.state, EntryState::Ready);
+        assert_eq!(z.endpoints(&names()).0.entries[0].entry.state, EntryState::Ready);
         let mut all = record(DNSClass::ANY, "e1", 0, RData::Update0(RecordType::ANY));
         all.name = z.origin.clone();
         assert_eq!(z.update(&message(vec![], vec![all])), (ResponseCode::NoError, false));
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -78,7 +78,7 @@
             }
             if let Some(d) = product.dns {
                 let zone = Zone::parse(&d.zone, &d.origin)?;
-                let (list, wrong) = zone.list(&c.names);
+                let (list, wrong) = zone.endpoints(&c.names);
                 println!("DNS on {}, {} endpoints in the zone", d.listen, list.entries.len());
                 wrong.iter().for_each(|w| println!("  {w}"));
             }
--- a/daemon/src/maintenance.rs
+++ b/daemon/src/maintenance.rs
@@ -6,7 +6,7 @@
 
 use crate::folder::{read, remove};
 use crate::module::ToModule;
-use crate::net::Shared;
+use crate::net::SharedState;
 use async_io::Timer;
 use std::collections::{BTreeSet, VecDeque};
 use std::fs::{File, OpenOptions, rename, write};
@@ -110,7 +110,7 @@
 }
 
 /// Looks whether another process has replaced the file, and tells the module.
-pub async fn follow(shared: Rc<Shared>, folder: PathBuf) {
+pub async fn follow(shared: Rc<SharedState>, folder: PathBuf) {
     let [file, _] = files(&folder);
     let mut seen = None;
     loop {
@@ -118,7 +118,7 @@
         let found = read(&file).ok();
         if found.is_some() && found != seen {
             seen = found;
-            if shared.module.send(ToModule::MaintenanceChanged).await.is_err() {
+            if shared.core.send(ToModule::MaintenanceChanged).await.is_err() {
                 return;
             }
         }
--- a/daemon/src/module/calls.rs
+++ b/daemon/src/module/calls.rs
@@ -16,19 +16,19 @@
             called_off
         });
         self.hand(OutboundCall {
-            called_off,
-            harmful: self.ledger.unsafe_to_repeat(n),
-            n,
+            cancellation: called_off,
+            unsafe_to_repeat: self.ledger.unsafe_to_repeat(n),
+            number: n,
             attempt,
-            to,
+            receiver: to,
             endpoint: self.endpoint_name(to),
             id: t.request_id.clone(),
-            key: t.idempotency_key.clone(),
-            note: t.frontend_note.clone(),
+            idempotency_key: t.idempotency_key.clone(),
+            frontend_note: t.frontend_note.clone(),
             body: t.body.clone(),
             started: now,
-            patience,
-            probe: None,
+            timeout: patience,
+            probe_path: None,
         });
     }
 
@@ -40,29 +40,29 @@
     pub(super) fn probe(&mut self, now: Micros, n: u64, to: ReceiverId, patience: Micros) {
         let Some(probing) = &self.probing else { return };
         self.hand(OutboundCall {
-            harmful: false,
-            n,
+            unsafe_to_repeat: false,
+            number: n,
             attempt: 0,
-            to,
+            receiver: to,
             endpoint: self.endpoint_name(to),
             id: String::new(),
-            key: String::new(),
-            note: String::new(),
+            idempotency_key: String::new(),
+            frontend_note: String::new(),
             body: Vec::new(),
             started: now,
-            patience: patience.min(probing.patience()),
-            probe: Some(probing.path.clone()),
-            called_off: None,
+            timeout: patience.min(probing.patience()),
+            probe_path: Some(probing.path.clone()),
+            cancellation: None,
         });
     }
 
     /// Hands a call to its endpoint's actor. The module is owed an outcome wherever it sends: to an endpoint that is
     /// not here any more, to one whose mailbox is full, to a gateway that knows no probes.
     pub(super) fn hand(&mut self, call: OutboundCall) {
-        let (now, moot) = (call.started, call.answered(call.started, Verdict::Moot));
-        let odd = call.probe.is_some() && self.directory.is_fixed(call.to);
-        self.directory.goes(call.to);
-        let mailbox = self.mailboxes.get(&call.to).filter(|_| !odd);
+        let (now, moot) = (call.started, call.outcome(call.started, Verdict::Moot));
+        let odd = call.probe_path.is_some() && self.directory.is_fixed(call.receiver);
+        self.directory.goes(call.receiver);
+        let mailbox = self.mailboxes.get(&call.receiver).filter(|_| !odd);
         if mailbox.is_none_or(|m| m.try_send(ToEndpoint::Call(Box::new(call))).is_err()) {
             self.answered(now, &moot);
         }
--- a/daemon/src/module/listing.rs
+++ b/daemon/src/module/listing.rs
@@ -58,7 +58,9 @@
                 // Its actor ends with its mailbox, once nothing is out there.
                 Order::Close(to) => drop(self.mailboxes.remove(&to)),
                 Order::CloseIdle(to) => self.send_to_endpoint(to, ToEndpoint::CloseIdle),
-                Order::Moved(to, address) => self.send_to_endpoint(to, ToEndpoint::Moved(Box::new(address))),
+                Order::Moved(to, address) => {
+                    self.send_to_endpoint(to, ToEndpoint::AddressChanged(Box::new(address)))
+                }
             }
         }
     }
@@ -112,20 +114,20 @@
         self.has_list(now, list.generation);
     }
 
-    pub(super) fn part(&mut self, now: Micros, part: Part) {
+    pub(super) fn part(&mut self, now: Micros, part: ListPart) {
         let mut follows = Follows::default();
         match part {
-            Part::Begin => self.directory.begin(),
-            Part::Entries(block) => {
+            ListPart::Begin => self.directory.begin(),
+            ListPart::Entries(block) => {
                 for e in block.iter() {
                     self.put(now, e, &mut follows);
                 }
             }
-            Part::Sweep(reply) => {
-                let done = self.directory.sweep(now, SWEEP, &mut follows);
+            ListPart::Sweep(reply) => {
+                let done = self.directory.sweep(now, SWEEP_BATCH_RECORDS, &mut follows);
                 let _ = reply.try_send(done);
             }
-            Part::End(generation) => self.has_list(now, generation),
+            ListPart::End(generation) => self.has_list(now, generation),
         }
         self.follow_up(now, follows);
     }
@@ -139,7 +141,7 @@
         }
         self.shared.counters.list_old.set(0);
         self.shared.counters.listed.set(self.directory.listed());
-        *self.shared.list.borrow_mut() = Held::Current;
+        *self.shared.list_state.borrow_mut() = ListState::Current;
         self.ledger.on_list_event(now, Event::ListChanges(Vec::new()));
         self.list_of(now, Some(generation));
     }
--- a/daemon/src/module/messages.rs
+++ b/daemon/src/module/messages.rs
@@ -2,7 +2,7 @@
 
 use super::{Asks, Gate, MaintenanceAnswer};
 use crate::folder::Left;
-use crate::list::Part;
+use crate::list::ListPart;
 use crate::maintenance::Change;
 use crate::shared_waits::Shared;
 use async_channel::Sender;
@@ -63,7 +63,7 @@
     Answered(AttemptOutcome),
     List(List),
     /// One part of a list that is too long for one message.
-    Part(Part),
+    Part(ListPart),
     ListFailed {
         why: String,
         /// The call failed at once.
--- a/daemon/src/module/tests.rs
+++ b/daemon/src/module/tests.rs
@@ -8,7 +8,7 @@
 use rstest::rstest;
 
 fn module(folder: &std::path::Path) -> Module {
-    let shared = Shared::alone(bounded(8).0);
+    let shared = SharedState::for_test(bounded(8).0);
     let class =
         ClassSettings { give_up_after: Micros(9_000_000), effect: Effect::Unsafe, ..Default::default() };
     let settings = Settings {
--- a/daemon/src/net/http/client.rs
+++ b/daemon/src/net/http/client.rs
@@ -96,7 +96,7 @@
 
     /// The server has closed it or has said something unasked: no call may go over it, and what is there must
     /// not answer the next one. Looking costs one call of the system.
-    pub fn stale(&self) -> bool {
+    pub fn is_stale(&self) -> bool {
         let silent = matches!(self.stream.get_ref().peek(&mut [0]),
             Err(e) if e.kind() == io::ErrorKind::WouldBlock);
         !silent || !self.buffer.is_empty()
@@ -132,7 +132,7 @@
 
     /// Reads the head of the answer. Its first byte may come until `until`; what has begun must end soon, or it
     /// is no answer. One whose first line says 200 is true, whatever follows that line.
-    pub async fn answer(&mut self, clock: &Clock, until: Micros) -> Result<Answer, Lost> {
+    pub async fn read_head(&mut self, clock: &Clock, until: Micros) -> Result<Answer, Lost> {
         for _ in 0..=INTERIM_MOST {
             if self.buffer.is_empty() {
                 clock.before(until, self.more()).await.unwrap_or(Err(Lost::TimedOut))?;
@@ -193,16 +193,16 @@
 
     /// Reads the rest of an answer and keeps nothing of it. Whether the connection can take another call; an
     /// error where the answer does not end as its head says. Reading again reads nothing.
-    pub async fn rest(&mut self, answer: &mut Answer) -> io::Result<bool> {
-        let mut body = self.body(answer, BODY_MOST)?;
-        while self.part(&mut body).await?.is_some() {}
+    pub async fn discard_body(&mut self, answer: &mut Answer) -> io::Result<bool> {
+        let mut body = self.begin_body(answer, BODY_MOST)?;
+        while self.read_part(&mut body).await?.is_some() {}
         let again = body.again;
         answer.framing = Ok(Framing { length: Some(0), chunked: false, close: !again });
         Ok(again)
     }
 
     /// Begins to read the body of an answer, of so many bytes at most.
-    pub fn body(&self, answer: &Answer, most: usize) -> io::Result<Body> {
+    pub fn begin_body(&self, answer: &Answer, most: usize) -> io::Result<Body> {
         let framing = answer.framing.map_err(bad)?;
         if framing.chunked && !matches!(answer.status, 204 | 304) {
             return Err(bad("chunked answers are not read"));
@@ -212,7 +212,7 @@
     }
 
     /// The next part of it; none at its end.
-    pub async fn part(&mut self, body: &mut Body) -> io::Result<Option<&[u8]>> {
+    pub async fn read_part(&mut self, body: &mut Body) -> io::Result<Option<&[u8]>> {
         self.buffer.consume(std::mem::take(&mut body.pending));
         while !body.over {
             // More than anybody may send is not waited for.
--- a/daemon/src/net/http/endpoint.rs
+++ b/daemon/src/net/http/endpoint.rs
@@ -1,11 +1,11 @@
 //! One endpoint: its idle connections, and the outbound calls over them.
 
-use super::HEAD_MOST;
+use super::MAX_HEAD_BYTES;
 use super::client::{Again, Answer, Conn, Lost, TAIL, is_local};
 use super::reuse::AT_ONCE;
 use crate::clock::Clock;
 use crate::module::ToModule;
-use crate::net::{OutboundCall, Shared, ToEndpoint};
+use crate::net::{OutboundCall, SharedState, ToEndpoint};
 use async_channel::{Receiver, Sender, bounded};
 use futures_lite::future;
 use onyxrock::core::AttemptOutcome;
@@ -25,19 +25,19 @@
 const LOGGED: u64 = 20;
 
 /// Starts the actor of an endpoint.
-pub fn start(shared: &Rc<Shared>, address: SocketAddr, room: usize) -> Sender<ToEndpoint> {
+pub fn start(shared: &Rc<SharedState>, address: SocketAddr, room: usize) -> Sender<ToEndpoint> {
     let (mailbox, inbox) = bounded(room);
     let actor = run(shared.clone(), address, inbox, room);
     shared.executor.spawn(actor).detach();
     mailbox
 }
 
-async fn run(shared: Rc<Shared>, mut address: SocketAddr, inbox: Receiver<ToEndpoint>, room: usize) {
+async fn run(shared: Rc<SharedState>, mut address: SocketAddr, inbox: Receiver<ToEndpoint>, room: usize) {
     let (give_back, given_back) = bounded(room); // connections that have done their call
     let mut idle: Vec<Idle> = Vec::new(); // the longest idle first
     let mut keeps = true; // what comes back: not after idle ones were given back, until the next call
     loop {
-        let oldest = idle.first().and_then(|i| Some(i.since.plus(shared.idle_for?)));
+        let oldest = idle.first().and_then(|i| Some(i.since.plus(shared.idle_timeout?)));
         let back = async { (None, given_back.recv().await.ok()) };
         let next = async { (Some(inbox.recv().await), None) };
         let retire = async {
@@ -50,7 +50,7 @@
             // Near the bound on descriptors no connection is kept for later; none outlives its address.
             Some(Back::Sound(sound)) => {
                 let (mut conn, to) = *sound;
-                if !keeps || to != address || shared.counters.outbound_open.get() > shared.outbound_most {
+                if !keeps || to != address || shared.counters.outbound_open.get() > shared.max_outbound {
                     shared.counters.outbound_open.down();
                 } else {
                     conn.rest_buffer();
@@ -71,7 +71,8 @@
                 retire_idle(&shared, &mut idle, now);
                 // The youngest is the best; one that is not good enough is closed, so that they do not pile up.
                 let conn = idle.pop().filter(|i| {
-                    let good = shared.reuse.borrow_mut().allows(now.since(i.since), call.harmful);
+                    let good =
+                        shared.reuse_stats.borrow_mut().allows(now.since(i.since), call.unsafe_to_repeat);
                     if !good {
                         shared.counters.outbound_open.down();
                         shared.counters.outbound_passed_over.up();
@@ -86,7 +87,7 @@
                 keeps = false;
                 close_all(&shared, &mut idle);
             }
-            Some(Ok(ToEndpoint::Moved(to))) => {
+            Some(Ok(ToEndpoint::AddressChanged(to))) => {
                 address = *to;
                 close_all(&shared, &mut idle);
             }
@@ -108,15 +109,15 @@
     Suspect,
 }
 
-fn close_all(shared: &Shared, idle: &mut Vec<Idle>) {
+fn close_all(shared: &SharedState, idle: &mut Vec<Idle>) {
     idle.drain(..).for_each(|_| shared.counters.outbound_open.down());
 }
 
 /// An endpoint closes what has been idle for the platform's limit, and a request that crosses that close may
 /// have run: let go well before, and of what the other side has closed already.
-fn retire_idle(shared: &Shared, idle: &mut Vec<Idle>, now: Micros) {
+fn retire_idle(shared: &SharedState, idle: &mut Vec<Idle>, now: Micros) {
     idle.retain(|i| {
-        let keep = shared.idle_for.is_none_or(|most| now.since(i.since) < most) && !i.conn.stale();
+        let keep = shared.idle_timeout.is_none_or(|most| now.since(i.since) < most) && !i.conn.is_stale();
         if !keep {
             shared.counters.outbound_open.down();
         }
@@ -125,7 +126,8 @@
 }
 
 async fn outbound_call(
-    shared: Rc<Shared>, address: SocketAddr, call: OutboundCall, idle: Option<Idle>, give_back: Sender<Back>,
+    shared: Rc<SharedState>, address: SocketAddr, call: OutboundCall, idle: Option<Idle>,
+    give_back: Sender<Back>,
 ) {
     // Until when its answer told to wait: that holds whatever becomes of the attempt.
     let told = Cell::new(Micros(0));
@@ -140,17 +142,17 @@
         finished: answer.as_ref().is_some_and(|a| a.status == 410),
         load_report: load,
         wait_until: told.get(),
-        ..call.answered(shared.clock.now(), verdict)
+        ..call.outcome(shared.clock.now(), verdict)
     };
     if matches!(verdict, Verdict::TimedOut | Verdict::Reset | Verdict::Stale) {
         let _ = give_back.try_send(Back::Suspect);
     }
-    let _ = shared.module.send(ToModule::Answered(answered)).await;
+    let _ = shared.core.send(ToModule::Answered(answered)).await;
     let sound = match (answer, conn) {
         // A delivery needed the first line only; the connection is good for another call after the rest.
         (Some(mut answer), Some(mut conn)) => {
             let tail = shared.clock.now().plus(TAIL);
-            let again = shared.clock.before(tail, conn.rest(&mut answer)).await;
+            let again = shared.clock.before(tail, conn.discard_body(&mut answer)).await;
             Some(conn).filter(|_| matches!(again, Some(Ok(true))))
         }
         // The call was held back: nothing has gone over its connection.
@@ -167,7 +169,7 @@
 
 /// Makes one attempt. A connection that is not handed back is closed, which is how a call is given up.
 async fn attempt(
-    shared: &Shared, address: SocketAddr, call: &OutboundCall, idle: Option<Idle>, told: &Cell<Micros>,
+    shared: &SharedState, address: SocketAddr, call: &OutboundCall, idle: Option<Idle>, told: &Cell<Micros>,
 ) -> (Verdict, Option<Answer>, Option<Conn>) {
     let (clock, counters) = (&shared.clock, &shared.counters);
     let until = call.until();
@@ -177,7 +179,7 @@
         if settled > clock.now() {
             clock.until(Some(settled)).await;
         }
-        kept = Some(conn).filter(|c| !c.stale());
+        kept = Some(conn).filter(|c| !c.is_stale());
         rested = kept.as_ref().map(|_| clock.now().since(since));
         if kept.is_none() {
             counters.outbound_open.down();
@@ -192,7 +194,7 @@
             counters.outbound_open.up();
             counters.outbound_opened.up();
             let by = until.min(clock.now().plus(shared.connect_timeout));
-            match clock.before(by, Conn::open(address, HEAD_MOST)).await {
+            match clock.before(by, Conn::open(address, MAX_HEAD_BYTES)).await {
                 Some(Ok(conn)) => conn,
                 Some(Err(e)) if is_local(&e) => {
                     counters.held_back_local.up();
@@ -204,13 +206,13 @@
         }
     };
     // From here on the call may run: the module has it in the log first, or says that it must not go.
-    let permit = match shared.gate(call, address, false).await {
+    let permit = match shared.request_permit(call, address, false).await {
         Ok(permit) => permit,
         Err(verdict) => return (verdict, None, Some(conn)),
     };
     // While the module was asked the other side may have closed it. Written now the call would be lost as one that may
     // have run; unwritten it has not, and of a kept connection that says nothing of the endpoint.
-    if conn.stale() {
+    if conn.is_stale() {
         let kept = rested.is_some();
         if kept {
             counters.held_back_closed.up();
@@ -219,7 +221,7 @@
     }
     let bytes = request(address, call, permit.epoch, clock);
     // A process that was stood still since then may have lost the right to probe.
-    if call.probe.is_some() && clock.now() >= until {
+    if call.probe_path.is_some() && clock.now() >= until {
         return (Verdict::Moot, None, Some(conn));
     }
     shared.sends(call, &permit);
@@ -236,19 +238,19 @@
         if !matches!(clock.before(until, conn.room()).await, Some(Ok(()))) {
             return (Verdict::ConnectFailed, None, None);
         }
-        if let Err(verdict) = shared.gate(call, address, true).await {
+        if let Err(verdict) = shared.request_permit(call, address, true).await {
             return (verdict, None, None);
         }
     }
     let written = clock.now();
-    let read = conn.answer(clock, until).await;
+    let read = conn.read_head(clock, until).await;
     // A kept connection that breaks at once tells of itself; later, or when new, of the endpoint.
     let at_once = clock.now().since(written) < AT_ONCE;
     let stale = rested.filter(|_| at_once && matches!(read, Err(Lost::Broken(_))));
     if let Some(idle) = rested
         && (read.is_ok() || stale.is_some())
     {
-        shared.reuse.borrow_mut().note(idle, stale.is_some());
+        shared.reuse_stats.borrow_mut().note(idle, stale.is_some());
     }
     let mut answer = match read {
         Ok(answer) => answer,
@@ -265,13 +267,13 @@
             Again::Unsaid => {}
         }
         if told.get() > Micros(0) && !conn.whole(&answer) {
-            let _ = shared.module.send(ToModule::Wait { to: call.to, until: told.get() }).await;
+            let _ = shared.core.send(ToModule::Wait { to: call.receiver, until: told.get() }).await;
         }
     }
     // That a call has not run is believed only of an answer that is whole.
     if answer.status != 200 {
         let tail = clock.now().plus(TAIL);
-        match clock.before(tail, conn.rest(&mut answer)).await {
+        match clock.before(tail, conn.discard_body(&mut answer)).await {
             Some(Ok(_)) => {}
             Some(Err(e)) => return spoilt(shared, address, &e.to_string()),
             None => return spoilt(shared, address, "a body without end"),
@@ -288,7 +290,7 @@
 
 /// Something came that is no answer: the call may have run. The endpoint is there, so its other connections are
 /// as good as before.
-fn spoilt(shared: &Shared, address: SocketAddr, why: &str) -> (Verdict, Option<Answer>, Option<Conn>) {
+fn spoilt(shared: &SharedState, address: SocketAddr, why: &str) -> (Verdict, Option<Answer>, Option<Conn>) {
     let n = &shared.counters.spoilt;
     n.up();
     if n.get() <= LOGGED {
@@ -298,13 +300,13 @@
 }
 
 fn request(address: SocketAddr, call: &OutboundCall, epoch: u64, clock: &Clock) -> Vec<u8> {
-    if let Some(path) = &call.probe {
+    if let Some(path) = &call.probe_path {
         // A partner that keeps the highest refuses a probe of a holder that stood still and has lost its lease.
         return format!("GET {path} HTTP/1.1\r\nHost: {address}\r\nX-Epoch: {epoch}\r\n\r\n").into_bytes();
     }
     let mut head = format!("POST /inbox HTTP/1.1\r\nHost: {address}\r\nX-Request-Id: {}\r\n", call.id);
-    if !call.key.is_empty() {
-        let _ = write!(head, "Idempotency-Key: {}\r\n", call.key);
+    if !call.idempotency_key.is_empty() {
+        let _ = write!(head, "Idempotency-Key: {}\r\n", call.idempotency_key);
     }
     let left = call.until().since(clock.now()).secs();
     let _ = write!(head, "X-Deadline: {left:.3}\r\nContent-Length: {}\r\n\r\n", call.body.len());
--- a/daemon/src/net/http/endpoint/tests.rs
+++ b/daemon/src/net/http/endpoint/tests.rs
@@ -10,7 +10,7 @@
 
 /// An endpoint's actor between a peer and a module that the test plays.
 struct Rig {
-    shared: Rc<Shared>,
+    shared: Rc<SharedState>,
     module: Receiver<ToModule>,
     mailbox: Sender<ToEndpoint>,
     peer: TcpListener,
@@ -19,7 +19,7 @@
 impl Rig {
     fn new() -> Rig {
         let (module, messages) = bounded(8);
-        let shared = Shared::alone(module);
+        let shared = SharedState::for_test(module);
         let peer = TcpListener::bind("127.0.0.1:0").unwrap();
         let mailbox = start(&shared, peer.local_addr().unwrap(), 8);
         Rig { shared, module: messages, mailbox, peer }
@@ -29,18 +29,18 @@
         let (wanted, called_off) = bounded(1);
         let call = OutboundCall {
             endpoint: "e1".into(),
-            n: 1,
+            number: 1,
             attempt: 0,
-            to: ReceiverId(7),
+            receiver: ReceiverId(7),
             id: id.into(),
-            key: String::new(),
-            note: String::new(),
+            idempotency_key: String::new(),
+            frontend_note: String::new(),
             body: vec![b'x'; body],
             started: self.shared.clock.now(),
-            patience: Micros(20_000_000),
-            harmful: true,
-            probe: None,
-            called_off: Some(called_off),
+            timeout: Micros(20_000_000),
+            unsafe_to_repeat: true,
+            probe_path: None,
+            cancellation: Some(called_off),
         };
         self.mailbox.try_send(ToEndpoint::Call(Box::new(call))).unwrap();
         wanted
--- a/daemon/src/net/http/inbound.rs
+++ b/daemon/src/net/http/inbound.rs
@@ -1,11 +1,11 @@
 //! The clients' side: one actor a connection.
 
-use super::{BODY_MOST, Framing, HEAD_MOST, HEADERS, client_seconds, framing};
+use super::{BODY_MOST, Framing, HEADERS, MAX_HEAD_BYTES, client_seconds, framing};
 use crate::invariants::OwedAnswer;
 use crate::module::{HandIn, Reply, ToModule};
 use crate::net::buffer::{Buffer, write_whole};
 use crate::net::smpp::Note;
-use crate::net::{Held, Shared};
+use crate::net::{ListState, SharedState};
 use async_channel::{Receiver, Sender, bounded};
 use async_io::Async;
 use futures_lite::future;
@@ -18,7 +18,7 @@
 use std::rc::Rc;
 
 /// The number of this front in the log.
-pub const FRONT: u8 = 0;
+pub const FRONTEND_ID: u8 = 0;
 /// A connection that is new must have said something within this, and its first request must be whole; one that has
 /// begun a further request must end it.
 const WHOLE: Micros = Micros(2_200_000);
@@ -51,7 +51,9 @@
 const NAME_MOST: usize = 256;
 
 /// Accepts until `stop` is closed.
-pub async fn listen(shared: Rc<Shared>, listener: Async<TcpListener>, stop: async_channel::Receiver<()>) {
+pub async fn listen(
+    shared: Rc<SharedState>, listener: Async<TcpListener>, stop: async_channel::Receiver<()>,
+) {
     if let Err(e) = rustix::net::listen(&listener, BACKLOG) {
         tracing::error!("listen: {e}");
     }
@@ -60,8 +62,8 @@
             break;
         }
         // Who has said nothing makes room for who comes, the oldest first.
-        if shared.counters.inbound_open.get() >= shared.inbound_most {
-            if shared.crowd.make_room(shared.clock.now(), SPARE) {
+        if shared.counters.inbound_open.get() >= shared.max_inbound {
+            if shared.eviction_queue.make_room(shared.clock.now(), SPARE) {
                 shared.counters.inbound_sent_off.up();
                 future::yield_now().await;
             } else {
@@ -85,7 +87,7 @@
         }
     }
     // Who stands in the row is connected already: dropped with the listener, its request would be lost without an answer.
-    while shared.counters.inbound_open.get() < shared.inbound_most
+    while shared.counters.inbound_open.get() < shared.max_inbound
         && let Ok((stream, _)) = listener.get_ref().accept()
         && let Ok(stream) = Async::new(stream)
     {
@@ -94,7 +96,7 @@
 }
 
 /// Each connection has an actor of its own.
-fn serve(shared: &Rc<Shared>, stream: Async<TcpStream>) {
+fn serve(shared: &Rc<SharedState>, stream: Async<TcpStream>) {
     shared.counters.inbound_opened.up();
     shared.counters.inbound_open.up();
     let (shared, executor) = (shared.clone(), shared.executor.clone());
@@ -119,7 +121,7 @@
 struct Bad(u16, &'static str);
 
 struct Inbound<'a> {
-    shared: &'a Shared,
+    shared: &'a SharedState,
     stream: Async<TcpStream>,
     buffer: Buffer,
     serial: u64,
@@ -139,12 +141,12 @@
 }
 
 impl<'a> Inbound<'a> {
-    fn new(shared: &'a Shared, stream: Async<TcpStream>) -> Inbound<'a> {
+    fn new(shared: &'a SharedState, stream: Async<TcpStream>) -> Inbound<'a> {
         let _ = stream.get_ref().set_nodelay(true);
         Inbound {
             shared,
             stream,
-            buffer: Buffer::new(HEAD_MOST + BODY_MOST),
+            buffer: Buffer::new(MAX_HEAD_BYTES + BODY_MOST),
             serial: shared.serial(),
             since: shared.clock.now(),
             answered: false,
@@ -159,9 +161,9 @@
             let place = (self.answered, self.since, self.serial);
             // What was told before, when a request was on its way, holds no more.
             while self.go.1.try_recv().is_ok() {}
-            self.shared.crowd.join(place, self.go.0.clone());
+            self.shared.eviction_queue.join(place, self.go.0.clone());
             let next = self.next().await;
-            self.shared.crowd.leave(place);
+            self.shared.eviction_queue.leave(place);
             let (bytes, body_at, f, at) = match next {
                 Next::Closed => return,
                 Next::Broken(Bad(status, why)) => {
@@ -180,7 +182,7 @@
                 Err(bad) => self.turn_away(bad, close).await,
                 Ok(Ask::Ready) => self.ready(close).await,
                 Ok(Ask::Counters) => {
-                    let text = self.shared.counters_now().to_string();
+                    let text = self.shared.counters_json().to_string();
                     self.answer(200, None, &text, close).await
                 }
                 Ok(Ask::Members) => self.show(close, Self::members).await,
@@ -207,17 +209,19 @@
 
     /// Without any list nothing can be delivered; with an old one most can.
     async fn ready(&mut self, close: bool) -> std::io::Result<()> {
-        let held = self.shared.list.borrow().clone();
+        let held = self.shared.list_state.borrow().clone();
         match held {
-            Held::None => self.answer(503, Some(LIST_WAIT), "no list yet", close).await,
-            Held::Current => self.answer(200, None, "ready", close).await,
-            Held::Old(why) => self.answer(200, None, &format!("ready, with an old list: {why}"), close).await,
+            ListState::Missing => self.answer(503, Some(LIST_WAIT), "no list yet", close).await,
+            ListState::Current => self.answer(200, None, "ready", close).await,
+            ListState::Outdated(why) => {
+                self.answer(200, None, &format!("ready, with an old list: {why}"), close).await
+            }
         }
     }
 
     /// What one of the actors shows, as JSON; there is nothing here where duties are not shared.
     async fn show(
-        &mut self, close: bool, ask: impl AsyncFnOnce(&Shared, Sender<Value>) -> bool,
+        &mut self, close: bool, ask: impl AsyncFnOnce(&SharedState, Sender<Value>) -> bool,
     ) -> std::io::Result<()> {
         let (reply, shown) = bounded(1);
         if self.shared.peers.is_some()
@@ -228,14 +232,14 @@
         }
         self.turn_away(Bad(404, "nothing here"), close).await
     }
-    async fn members(shared: &Shared, reply: Sender<Value>) -> bool {
+    async fn members(shared: &SharedState, reply: Sender<Value>) -> bool {
         match &shared.peers {
             Some(peers) => peers.send(ToPeers::Show(reply)).await.is_ok(),
             None => false,
         }
     }
-    async fn duties(shared: &Shared, reply: Sender<Value>) -> bool {
-        shared.module.send(ToModule::Duties(reply)).await.is_ok()
+    async fn duties(shared: &SharedState, reply: Sender<Value>) -> bool {
+        shared.core.send(ToModule::Duties(reply)).await.is_ok()
     }
 
     /// Reads one request.
@@ -256,7 +260,7 @@
             }
             // Time counts from the connection for its first request, and from the first byte for later ones.
             let c = &self.shared.counters;
-            let many = c.inbound_open.get() * MANY > self.shared.inbound_most;
+            let many = c.inbound_open.get() * MANY > self.shared.max_inbound;
             let until = match (self.answered, since) {
                 (false, _) => self.since.plus(WHOLE),
                 (true, Some(at)) => at.plus(WHOLE),
@@ -270,7 +274,7 @@
                 // A new one has not said anything only because it has just come.
                 let ending = async {
                     match since {
-                        None if self.answered => shared.ending.recv().await.unwrap_or_default(),
+                        None if self.answered => shared.shutdown_started.recv().await.unwrap_or_default(),
                         _ => future::pending().await,
                     }
                 };
@@ -283,7 +287,7 @@
                 None => {
                     let reason = if !self.answered {
                         &shared.counters.inbound_silent
-                    } else if shared.ending.is_closed() {
+                    } else if shared.shutdown_started.is_closed() {
                         &shared.counters.closed_ending
                     } else if many && shared.clock.now() >= until {
                         &shared.counters.inbound_given_back
@@ -313,7 +317,7 @@
     async fn sink(&mut self) {
         let _ = self.stream.get_ref().shutdown(std::net::Shutdown::Write);
         let until = self.shared.clock.now().plus(SINK_FOR);
-        let mut sink = Buffer::new(HEAD_MOST);
+        let mut sink = Buffer::new(MAX_HEAD_BYTES);
         let mut left = SINK;
         let drain = async {
             while let Ok(n) = sink.fill(&mut self.stream).await {
@@ -336,7 +340,7 @@
     async fn hand_in(&mut self, taken: AcceptedMessage, close: bool) -> std::io::Result<()> {
         let (reply, answer) = bounded(1);
         let message = ToModule::HandIn(HandIn { taken, reply });
-        let reply = match self.shared.module.send(message).await {
+        let reply = match self.shared.core.send(message).await {
             Ok(()) => answer.recv().await.unwrap_or(Reply::FailFast(None)),
             Err(_) => Reply::FailFast(None),
         };
@@ -349,7 +353,7 @@
                 };
                 if heard.is_err() {
                     self.shared.counters.unheard.up();
-                    let _ = self.shared.module.send(ToModule::Unheard(n)).await;
+                    let _ = self.shared.core.send(ToModule::Unheard(n)).await;
                 }
                 heard
             }
@@ -365,7 +369,7 @@
     /// refusal is true for both. Else it is owed as it was taken on.
     async fn take_back(&self, n: u64) -> bool {
         let (reply, back) = bounded(1);
-        let asked = self.shared.module.send(ToModule::TakeBack(n, reply)).await.is_ok();
+        let asked = self.shared.core.send(ToModule::TakeBack(n, reply)).await.is_ok();
         let back = asked && back.recv().await.unwrap_or_default();
         if back {
             self.shared.counters.unheard.up();
@@ -405,7 +409,9 @@
     let mut request = httparse::Request::new(&mut headers);
     let body_at = match request.parse(data) {
         Ok(httparse::Status::Complete(n)) => n,
-        Ok(httparse::Status::Partial) if data.len() > HEAD_MOST => return Err(Bad(431, "head too large")),
+        Ok(httparse::Status::Partial) if data.len() > MAX_HEAD_BYTES => {
+            return Err(Bad(431, "head too large"));
+        }
         Ok(httparse::Status::Partial) => return Ok(None),
         Err(_) => return Err(Bad(400, "not HTTP")),
     };
@@ -491,7 +497,7 @@
     let margin = MARGIN.min(Micros(left.0 / 8));
     Ok(Ask::HandIn(Box::new(AcceptedMessage {
         number: 0,
-        frontend: FRONT,
+        frontend: FRONTEND_ID,
         request_id: id.to_owned(),
         class: class.to_owned(),
         recorded_class: None,
--- a/daemon/src/net/http/inbound/tests.rs
+++ b/daemon/src/net/http/inbound/tests.rs
@@ -27,7 +27,7 @@
 /// The door shuts while they stand in the row, their requests written: each of them is answered.
 #[test]
 fn who_stands_in_the_row_when_the_door_shuts_is_answered() {
-    let shared = Shared::alone(bounded(1).0);
+    let shared = SharedState::for_test(bounded(1).0);
     shared.stopping.set(true);
     let (listener, at) = door();
     let mut clients: Vec<_> = (0..8).map(|_| TcpStream::connect(at).unwrap()).collect();
@@ -46,7 +46,7 @@
 /// One that came just before is waited for; one that was answered is closed at once.
 #[test]
 fn a_new_connection_is_answered_though_the_process_ends() {
-    let shared = Shared::alone(bounded(1).0);
+    let shared = SharedState::for_test(bounded(1).0);
     let (listener, at) = door();
     let mut client = TcpStream::connect(at).unwrap();
     let (_open, shut) = bounded(1);
@@ -67,7 +67,7 @@
 #[case::has_begun(false, "HTTP/1.1 202")]
 fn a_client_that_sends_no_more_gets_an_answer_that_is_true(#[case] back: bool, #[case] said: &str) {
     let (module, messages) = bounded(4);
-    let shared = Shared::alone(module);
+    let shared = SharedState::for_test(module);
     let (listener, at) = door();
     let (_open, shut) = bounded(1);
     shared.executor.spawn(listen(shared.clone(), listener, shut)).detach();
--- a/daemon/src/net/http/mod.rs
+++ b/daemon/src/net/http/mod.rs
@@ -8,7 +8,7 @@
 /// Bodies of requests.
 pub const BODY_MOST: usize = 64 * 1024;
 /// First line and headers.
-pub const HEAD_MOST: usize = 16 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 const HEADERS: usize = 64;
 /// A longer time is read as this one: some 30 years, which adds to any clock.
 const SECONDS_MOST: f64 = 1e9;
--- a/daemon/src/net/mgmt.rs
+++ b/daemon/src/net/mgmt.rs
@@ -1,7 +1,7 @@
 //! Where operators call: one line to a connection, one line back that begins with 200 or 400. It has connections of its
 //! own, few of them, and waits for nobody else's queue.
 
-use super::{Held, Shared};
+use super::{ListState, SharedState};
 use crate::maintenance::Change;
 use crate::module::{MaintenanceAnswer, ToModule};
 use async_channel::bounded;
@@ -21,7 +21,7 @@
 const MODULE_ANSWERS_WITHIN: Micros = Micros(800_000);
 const PAUSE: std::time::Duration = std::time::Duration::from_millis(20);
 
-pub async fn listen(shared: Rc<Shared>, listener: Async<TcpListener>) {
+pub async fn listen(shared: Rc<SharedState>, listener: Async<TcpListener>) {
     let mut callers: std::collections::VecDeque<async_executor::Task<()>> = Default::default();
     loop {
         match listener.accept().await {
@@ -47,7 +47,7 @@
     }
 }
 
-async fn call(shared: &Shared, mut stream: Async<TcpStream>) -> std::io::Result<()> {
+async fn call(shared: &SharedState, mut stream: Async<TcpStream>) -> std::io::Result<()> {
     let (mut line, mut some) = (Vec::new(), [0; 128]);
     let answer = loop {
         let n = stream.read(&mut some).await?;
@@ -68,7 +68,7 @@
 }
 
 /// Each call that was whole is a line of the log, with its answer and so the reason of a refusal.
-fn note(shared: &Shared, line: &[u8], answer: &str) {
+fn note(shared: &SharedState, line: &[u8], answer: &str) {
     let call = String::from_utf8_lossy(line);
     let call = call.trim_end().escape_debug();
     shared.counters.operator_calls.up();
@@ -80,16 +80,18 @@
     }
 }
 
-async fn answer(shared: &Shared, line: &[u8]) -> String {
+async fn answer(shared: &SharedState, line: &[u8]) -> String {
     let line = String::from_utf8_lossy(line);
     let words: Vec<&str> = line.split_whitespace().collect();
     match words[..] {
         ["status"] if shared.stopping.get() => "400 it ends".into(),
         ["status"] if shared.taking_over.get() => "400 it learns what the process beside it knows".into(),
-        ["status"] => match &*shared.list.borrow() {
-            Held::None => "400 no list yet".into(),
-            Held::Current => "200 ready".into(),
-            Held::Old(why) => format!("200 ready, with an old list: {}", why.replace(['\r', '\n'], " ")),
+        ["status"] => match &*shared.list_state.borrow() {
+            ListState::Missing => "400 no list yet".into(),
+            ListState::Current => "200 ready".into(),
+            ListState::Outdated(why) => {
+                format!("200 ready, with an old list: {}", why.replace(['\r', '\n'], " "))
+            }
         },
         [what @ ("maint-on" | "maint-off"), endpoint] => {
             let change = Change { endpoint: endpoint.to_owned(), out: what == "maint-on" };
@@ -102,13 +104,13 @@
 }
 
 /// Takes an endpoint out, or puts it back.
-async fn maintenance(shared: &Shared, change: Change) -> String {
+async fn maintenance(shared: &SharedState, change: Change) -> String {
     let Change { endpoint, out } = change.clone();
     let shown = endpoint.escape_debug();
     let done = format!("200 {shown} is {}", if out { "out" } else { "back" });
     let (reply, answered) = bounded(1);
     let asked = async {
-        shared.module.send(ToModule::Maintenance { change, reply }).await.ok()?;
+        shared.core.send(ToModule::Maintenance { change, reply }).await.ok()?;
         answered.recv().await.ok()
     };
     let by = shared.clock.now().plus(MODULE_ANSWERS_WITHIN);
--- a/daemon/src/net/mgmt/tests.rs
+++ b/daemon/src/net/mgmt/tests.rs
@@ -4,8 +4,8 @@
 use std::io::{Read, Write};
 use std::net::SocketAddr;
 
-fn start() -> (Rc<Shared>, SocketAddr) {
-    let shared = Shared::alone(async_channel::bounded(1).0);
+fn start() -> (Rc<SharedState>, SocketAddr) {
+    let shared = SharedState::for_test(async_channel::bounded(1).0);
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
     let at = listener.get_ref().local_addr().unwrap();
     shared.executor.spawn(listen(shared.clone(), listener)).detach();
@@ -13,7 +13,7 @@
 }
 
 /// What is answered, and whether that was all.
-fn ask(shared: &Shared, at: SocketAddr, says: &[u8]) -> String {
+fn ask(shared: &SharedState, at: SocketAddr, says: &[u8]) -> String {
     let says = says.to_vec();
     let caller = std::thread::spawn(move || {
         let mut stream = TcpStream::connect(at).unwrap();
@@ -36,9 +36,9 @@
 fn status_tells_the_truth_and_anything_else_is_a_plain_no() {
     let (shared, at) = start();
     assert_eq!(ask(&shared, at, b"status\n"), "400 no list yet\n");
-    *shared.list.borrow_mut() = Held::Current;
+    *shared.list_state.borrow_mut() = ListState::Current;
     assert_eq!(ask(&shared, at, b"status\r\nstatus\n"), "200 ready\n", "one call to a connection");
-    *shared.list.borrow_mut() = Held::Old("down\n200 x".into());
+    *shared.list_state.borrow_mut() = ListState::Outdated("down\n200 x".into());
     assert_eq!(ask(&shared, at, b"status\n"), "200 ready, with an old list: down 200 x\n");
     shared.taking_over.set(true);
     assert_eq!(ask(&shared, at, b"status\n"), "400 it learns what the process beside it knows\n");
@@ -53,7 +53,7 @@
 #[test]
 fn a_crowd_that_says_nothing_or_half_a_call_keeps_nobody_out() {
     let (shared, at) = start();
-    *shared.list.borrow_mut() = Held::Current;
+    *shared.list_state.borrow_mut() = ListState::Current;
     let crowd: Vec<_> = (0..3 * CALLERS)
         .map(|i| {
             let mut stream = TcpStream::connect(at).unwrap();
--- a/daemon/src/net/smpp/gateway.rs
+++ b/daemon/src/net/smpp/gateway.rs
@@ -3,7 +3,7 @@
 use super::{Note, PDU_MOST, PROMPT, Read, command, field, next, write};
 use crate::module::ToModule;
 use crate::net::buffer::Buffer;
-use crate::net::{OutboundCall, Shared, ToEndpoint};
+use crate::net::{OutboundCall, SharedState, ToEndpoint};
 use async_channel::{Receiver, Sender, bounded};
 use async_io::Async;
 use futures_lite::future;
@@ -22,14 +22,14 @@
 const SHORT: usize = 254;
 
 /// Starts the actor of a gateway.
-pub fn start(shared: &Rc<Shared>, gateway: Gateway, room: usize) -> Sender<ToEndpoint> {
+pub fn start(shared: &Rc<SharedState>, gateway: Gateway, room: usize) -> Sender<ToEndpoint> {
     let (mailbox, inbox) = bounded(room);
     let (shared, executor) = (shared.clone(), shared.executor.clone());
     executor.spawn(run(shared, gateway, inbox)).detach();
     mailbox
 }
 
-async fn run(shared: Rc<Shared>, gateway: Gateway, inbox: Receiver<ToEndpoint>) {
+async fn run(shared: Rc<SharedState>, gateway: Gateway, inbox: Receiver<ToEndpoint>) {
     while let Ok(message) = inbox.recv().await {
         let ToEndpoint::Call(call) = message else { continue };
         let by = call.until().min(shared.clock.now().plus(shared.connect_timeout));
@@ -37,7 +37,7 @@
         shared.counters.outbound_opened.up();
         match shared.clock.before(by, bind(&shared, &gateway)).await {
             Some(Some(link)) => {
-                let to = call.to;
+                let to = call.receiver;
                 let waiting = VecDeque::from([*call]);
                 let session = Session {
                     shared: &shared,
@@ -66,9 +66,9 @@
     }
 }
 
-async fn end(shared: &Shared, call: &OutboundCall, verdict: Verdict) {
-    let answered = call.answered(shared.clock.now(), verdict);
-    let _ = shared.module.send(ToModule::Answered(answered)).await;
+async fn end(shared: &SharedState, call: &OutboundCall, verdict: Verdict) {
+    let answered = call.outcome(shared.clock.now(), verdict);
+    let _ = shared.core.send(ToModule::Answered(answered)).await;
 }
 
 struct Link {
@@ -85,7 +85,7 @@
 }
 
 /// A bound session. None if there is no connection, or the gateway says no.
-async fn bind(shared: &Shared, gateway: &Gateway) -> Option<Link> {
+async fn bind(shared: &SharedState, gateway: &Gateway) -> Option<Link> {
     let stream = Async::<TcpStream>::connect(gateway.address).await.ok()?;
     let _ = stream.get_ref().set_nodelay(true);
     let mut link = Link { stream, buffer: Buffer::new(PDU_MOST), sequence: 0 };
@@ -120,7 +120,7 @@
 }
 
 struct Session<'a> {
-    shared: &'a Shared,
+    shared: &'a SharedState,
     gateway: &'a Gateway,
     link: Link,
     /// Calls that wait for room in the window.
@@ -155,7 +155,7 @@
                     Event::Time
                 };
                 let closing = async {
-                    let _ = self.shared.closing.recv().await;
+                    let _ = self.shared.calls_finished.recv().await;
                     Event::Closing
                 };
                 future::or(future::or(pdu, message), future::or(time, closing)).await
@@ -169,7 +169,7 @@
                     self.closing = self.out.is_empty() && self.waiting.is_empty();
                     true
                 }
-                Event::Message(Some(ToEndpoint::Moved(_))) => true,
+                Event::Message(Some(ToEndpoint::AddressChanged(_))) => true,
                 Event::Message(None) | Event::Pdu(None) => false,
                 Event::Pdu(Some(Read::Pdu(c))) => {
                     self.heard = clock.now();
@@ -241,7 +241,7 @@
                 end(self.shared, &call, Verdict::Moot).await;
                 continue;
             }
-            let permit = match self.shared.gate(&call, self.gateway.address, false).await {
+            let permit = match self.shared.request_permit(&call, self.gateway.address, false).await {
                 Ok(permit) => permit,
                 Err(verdict) => {
                     end(self.shared, &call, verdict).await;
@@ -272,7 +272,7 @@
                     end(self.shared, &call, verdict).await;
                 } else if let Verdict::Full(Some(wait)) = verdict {
                     let until = self.shared.clock.now().plus(wait);
-                    let _ = self.shared.module.send(ToModule::Wait { to: self.to, until }).await;
+                    let _ = self.shared.core.send(ToModule::Wait { to: self.to, until }).await;
                 }
                 true
             }
@@ -318,7 +318,7 @@
 }
 
 fn submission(call: &OutboundCall) -> SubmitSm {
-    let note = Note::read(&call.note);
+    let note = Note::read(&call.frontend_note);
     let mut sm = SubmitSm::default();
     sm.source_addr = field(&note.source);
     sm.destination_addr = field(&note.destination);
--- a/daemon/src/net/smpp/inbound.rs
+++ b/daemon/src/net/smpp/inbound.rs
@@ -1,9 +1,9 @@
 //! The clients' side of SMPP: one actor a session.
 
 use super::receipts::{ToReceipts, receipt};
-use super::{FRONT, Note, PDU_MOST, PROMPT, Read, command, field, next, text, time, write};
+use super::{FRONTEND_ID, Note, PDU_MOST, PROMPT, Read, command, field, next, text, time, write};
 use crate::module::{Ending, HandIn, Reply, ToModule};
-use crate::net::Shared;
+use crate::net::SharedState;
 use crate::net::buffer::Buffer;
 use async_channel::{Receiver, Sender, bounded};
 use async_io::Async;
@@ -25,8 +25,8 @@
 const BIND_WITHIN: Micros = Micros(10_000_000);
 
 /// What all sessions need.
-pub struct Front {
-    pub shared: Rc<Shared>,
+pub struct Frontend {
+    pub shared: Rc<SharedState>,
     pub smpp: Smpp,
     /// How long a message of each class may take.
     pub give_up: BTreeMap<String, Micros>,
@@ -34,7 +34,7 @@
 }
 
 /// Accepts until `stop` is closed.
-pub async fn listen(front: Rc<Front>, listener: Async<TcpListener>, stop: Receiver<()>) {
+pub async fn listen(front: Rc<Frontend>, listener: Async<TcpListener>, stop: Receiver<()>) {
     let mut session = 0;
     loop {
         let accepted = async { Some(listener.accept().await) };
@@ -46,7 +46,7 @@
                 let counters = &front.shared.counters;
                 counters.inbound_opened.up();
                 // Over the bound a session would take the room of those that are bound: it is closed.
-                if counters.inbound_open.get() >= front.shared.inbound_most {
+                if counters.inbound_open.get() >= front.shared.max_inbound {
                     counters.inbound_turned_away.up();
                     continue;
                 }
@@ -68,7 +68,7 @@
 }
 
 struct Session<'a> {
-    front: &'a Front,
+    front: &'a Frontend,
     number: u64,
     stream: Async<TcpStream>,
     buffer: Buffer,
@@ -88,7 +88,7 @@
 }
 
 impl<'a> Session<'a> {
-    fn new(front: &'a Front, number: u64, stream: Async<TcpStream>) -> Session<'a> {
+    fn new(front: &'a Frontend, number: u64, stream: Async<TcpStream>) -> Session<'a> {
         let _ = stream.get_ref().set_nodelay(true);
         let buffer = Buffer::new(PDU_MOST);
         let (out, asked) = Default::default();
@@ -121,7 +121,7 @@
                     Event::Silence
                 };
                 let closing = async {
-                    let _ = self.front.shared.closing.recv().await;
+                    let _ = self.front.shared.calls_finished.recv().await;
                     Event::Closing
                 };
                 future::or(future::or(pdu, receipt), future::or(quiet, closing)).await
@@ -263,7 +263,7 @@
         };
         let id = taken.request_id.clone();
         let (reply, answer) = bounded(1);
-        let module = &self.front.shared.module;
+        let module = &self.front.shared.core;
         let handed = module.send(ToModule::HandIn(HandIn { taken, reply })).await;
         let reply = if handed.is_ok() { answer.recv().await.ok() } else { None };
         match reply.unwrap_or(Reply::FailFast(None)) {
@@ -272,7 +272,7 @@
                 let heard = self.say(CommandStatus::EsmeRok, sequence, resp).await;
                 if !heard {
                     self.front.shared.counters.unheard.up();
-                    let _ = self.front.shared.module.send(ToModule::Unheard(n)).await;
+                    let _ = self.front.shared.core.send(ToModule::Unheard(n)).await;
                 }
                 heard
             }
@@ -291,7 +291,7 @@
     }
 
     fn request(&self, system_id: &str, sm: &SubmitSm) -> Result<AcceptedMessage, CommandStatus> {
-        let Front { shared, smpp, give_up, .. } = self.front;
+        let Frontend { shared, smpp, give_up, .. } = self.front;
         let now = shared.clock.now();
         let service = text(sm.service_type.value());
         let class = smpp.class(service).ok_or(CommandStatus::EsmeRinvsertyp)?;
@@ -322,7 +322,7 @@
         let id = format!("{:x}-{:x}-{:x}", now.0, self.number, shared.serial());
         Ok(AcceptedMessage {
             number: 0,
-            frontend: FRONT,
+            frontend: FRONTEND_ID,
             request_id: id,
             class: class.to_owned(),
             recorded_class: None,
--- a/daemon/src/net/smpp/mod.rs
+++ b/daemon/src/net/smpp/mod.rs
@@ -18,7 +18,7 @@
 use std::io;
 
 /// The number of this front in the log.
-pub const FRONT: u8 = 1;
+pub const FRONTEND_ID: u8 = 1;
 /// A message_payload may hold 64 KiB; the rest of a PDU is small.
 pub const PDU_MOST: usize = 66 * 1024;
 const HEADER: usize = 16;
--- a/daemon/src/net/smpp/receipts.rs
+++ b/daemon/src/net/smpp/receipts.rs
@@ -2,7 +2,7 @@
 
 use super::{Note, field, time};
 use crate::module::{Ending, ToModule};
-use crate::net::Shared;
+use crate::net::SharedState;
 use async_channel::{Receiver, Sender};
 use futures_lite::future;
 use onyxrock::core::FinalStatus;
@@ -36,7 +36,7 @@
     mailbox: Sender<Ending>,
 }
 
-pub async fn run(shared: Rc<Shared>, endings: Receiver<Ending>, sessions: Receiver<ToReceipts>) {
+pub async fn run(shared: Rc<SharedState>, endings: Receiver<Ending>, sessions: Receiver<ToReceipts>) {
     let mut bound: BTreeMap<u64, Session> = BTreeMap::new();
     // Each with the session that has it in hand.
     let mut pending: BTreeMap<u64, (Ending, Option<u64>)> = BTreeMap::new();
@@ -63,7 +63,7 @@
             }
             Some(ToReceipts::Acknowledged(n)) if pending.remove(&n).is_some() => {
                 shared.counters.smpp_receipts.up();
-                let _ = shared.module.send(ToModule::Told(n)).await;
+                let _ = shared.core.send(ToModule::Told(n)).await;
             }
             _ => {}
         }
@@ -80,7 +80,7 @@
             tracing::warn!(request = %pending[&n].0.id, "smpp: a receipt was not acknowledged and is given up");
             pending.remove(&n);
             shared.counters.smpp_receipts_lost.up();
-            let _ = shared.module.send(ToModule::Told(n)).await;
+            let _ = shared.core.send(ToModule::Told(n)).await;
         }
     }
 }
--- a/daemon/src/notices.rs
+++ b/daemon/src/notices.rs
@@ -2,8 +2,8 @@
 
 use crate::clock::Clock;
 use crate::module::{Ending, ToModule};
-use crate::net::Shared;
-use crate::net::http::HEAD_MOST;
+use crate::net::SharedState;
+use crate::net::http::MAX_HEAD_BYTES;
 use crate::net::http::client::Conn;
 use async_channel::Receiver;
 use async_io::Timer;
@@ -23,7 +23,7 @@
 const PAUSE_MOST: Duration = Duration::from_millis(200);
 
 /// Each move is word that they go elsewhere from now on, those too that are out and not acknowledged.
-pub async fn run(shared: Rc<Shared>, endings: Receiver<Ending>, moves: Receiver<()>) {
+pub async fn run(shared: Rc<SharedState>, endings: Receiver<Ending>, moves: Receiver<()>) {
     let mut line = Line { shared: &shared, conn: None, moves };
     while let Ok(first) = endings.recv().await {
         let mut batch = vec![first];
@@ -42,7 +42,7 @@
             shared.counters.notices_sent.up();
             let now = shared.clock.now();
             shared.invariants.ended(now, &ending.id, ending.deadline, shared.clock.up());
-            if shared.module.send(ToModule::Told(ending.n)).await.is_err() {
+            if shared.core.send(ToModule::Told(ending.n)).await.is_err() {
                 return;
             }
         }
@@ -51,7 +51,7 @@
 
 /// The way to the platform.
 struct Line<'a> {
-    shared: &'a Shared,
+    shared: &'a SharedState,
     conn: Option<Conn>,
     moves: Receiver<()>,
 }
@@ -105,13 +105,13 @@
 }
 
 async fn post(clock: &Clock, to: SocketAddr, kept: &mut Option<Conn>, bytes: &str) -> std::io::Result<u16> {
-    let mut conn = match kept.take().filter(|c| !c.stale()) {
+    let mut conn = match kept.take().filter(|c| !c.is_stale()) {
         Some(conn) => conn,
-        None => Conn::open(to, HEAD_MOST).await?,
+        None => Conn::open(to, MAX_HEAD_BYTES).await?,
     };
     conn.write(bytes.as_bytes()).await?;
-    let mut answer = conn.answer(clock, clock.now().plus(PATIENCE)).await?;
-    let again = conn.rest(&mut answer).await?;
+    let mut answer = conn.read_head(clock, clock.now().plus(PATIENCE)).await?;
+    let again = conn.discard_body(&mut answer).await?;
     *kept = again.then_some(conn);
     Ok(answer.status)
 }
--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -5,10 +5,10 @@
 use crate::counters::Counters;
 use crate::folder::Other;
 use crate::keep;
-use crate::list::{self, Discovery, dns};
+use crate::list::{self, DiscoveryParams, dns};
 use crate::maintenance;
 use crate::module::{Beside, FirstList, LiveSettings, Module, ToModule};
-use crate::net::Shared;
+use crate::net::SharedState;
 use crate::net::http::inbound;
 use crate::net::mgmt;
 use crate::net::smpp;
@@ -67,7 +67,7 @@
     let mut held = Config { known: None, ..config.clone() };
     let Product { smpp, dns, duties, list: bounds, idle: resting, .. } = product.clone();
     // The kept zone, old and new, shares the folder with the log.
-    let kept_zone = dns.as_ref().map_or(0, |d| dns::kept_most(&d.zone, config.disk_bytes));
+    let kept_zone = dns.as_ref().map_or(0, |d| dns::max_kept_zone_bytes(&d.zone, config.disk_bytes));
     let zones = 2 * kept_zone;
     let zones = zones + if duties.is_some() { keep::EPOCH_BYTES } else { 0 };
     let kept = resting.map_or(0, |i| i.keep);
@@ -91,26 +91,26 @@
     let others = duties.as_ref().map_or(0, |d| d.members.len());
     let (to_peers, peers_inbox) = bounded((4 * others).max(1024));
     let (to_list, list_letters) = bounded(64);
-    let shared = Rc::new(Shared {
+    let shared = Rc::new(SharedState {
         clock: Clock::continued(&config.state),
         counters: Counters::default(),
         invariants: Default::default(),
-        module: to_module.clone(),
-        ending: ended,
-        closing: closed,
-        crowd: Default::default(),
-        reuse: Default::default(),
-        serials: Cell::new(0),
+        core: to_module.clone(),
+        shutdown_started: ended,
+        calls_finished: closed,
+        eviction_queue: Default::default(),
+        reuse_stats: Default::default(),
+        last_serial: Cell::new(0),
         stopping: Cell::new(false),
         taking_over: Cell::new(false),
-        list: Default::default(),
+        list_state: Default::default(),
         list_answered_at: Cell::default(),
         discovery: Cell::new(config.discovery),
         connect_timeout: config.connect_timeout,
-        idle_for: (idle > Micros(0)).then_some(Micros(idle.0 * 4 / 5)),
+        idle_timeout: (idle > Micros(0)).then_some(Micros(idle.0 * 4 / 5)),
         peers: duties.as_ref().map(|_| to_peers.clone()),
-        inbound_most: (config.sockets / 2).max(8) as u64,
-        outbound_most: (config.sockets / 4).max(8) as u64,
+        max_inbound: (config.sockets / 2).max(8) as u64,
+        max_outbound: (config.sockets / 4).max(8) as u64,
         executor: executor.clone(),
     });
     shared.list_answered_at.set(shared.clock.now());
@@ -119,7 +119,7 @@
     let (move_notices, notice_moves) = bounded(1);
     let (notice, endings) = bounded(1024);
     let (receipt, smpp_endings) = bounded(1024);
-    let fronts = BTreeMap::from([(inbound::FRONT, notice), (smpp::FRONT, receipt)]);
+    let fronts = BTreeMap::from([(inbound::FRONTEND_ID, notice), (smpp::FRONTEND_ID, receipt)]);
     let slots = (config.settings.slots as usize).min(4096);
     let (ask_every, share_much) = (config.settings.list_poll_interval, config.settings.large_fleet());
     // One that tells whether it is answered, and the watch behind it.
@@ -182,13 +182,14 @@
         executor.spawn(peers.run(peers_inbox)).detach();
     }
     // A zone of our own is later than what discovery last told.
-    let zone = dns
-        .map(|d| dns::Dns::open(&d.zone, &d.origin, d.listen, config.state, kept_zone, config.names.clone()));
+    let zone = dns.map(|d| {
+        dns::DnsServer::open(&d.zone, &d.origin, d.listen, config.state, kept_zone, config.names.clone())
+    });
     let zone = zone.transpose()?;
     // Where many share discovery, a start asks only for what has changed: a whole list for each of them keeps it busy
     // for seconds in which no other call is answered.
     let since = config.known.as_ref().filter(|_| share_much && zone.is_none()).map(|k| k.generation);
-    if let Some(known) = zone.as_ref().map(|z| z.zone.list(&z.names).0).or(config.known) {
+    if let Some(known) = zone.as_ref().map(|z| z.zone.endpoints(&z.names).0).or(config.known) {
         module.known(known);
     }
     // An id that came to an earlier process could still run.
@@ -226,13 +227,13 @@
         tracing::error!("log: {e}");
     }
     let wait = if ask_every > Micros(0) { Micros(ask_every.0 / 2) } else { Micros(5_000_000) };
-    let discovery = Discovery {
+    let discovery = DiscoveryParams {
         names: config.names,
         generation: since,
-        shared_by_many: !asks_twice,
-        pushed: config.pushed,
+        large_fleet: !asks_twice,
+        lists_pushed: config.pushed,
         bounds,
-        wait: wait.clamp(Micros(1_000_000), list::WAIT_MOST),
+        watch_wait: wait.clamp(Micros(1_000_000), list::MAX_WATCH_WAIT),
     };
     if let Some(dns) = zone {
         let at = dns.socket.get_ref().local_addr().map_err(|e| e.to_string())?;
@@ -260,7 +261,7 @@
         let listener = Async::<TcpListener>::bind(address)
             .map_err(|e| format!("cannot listen on {address} for SMPP: {e}"))?;
         let at = listener.get_ref().local_addr().map_err(|e| e.to_string())?;
-        let front = Rc::new(smpp::inbound::Front { shared: shared.clone(), smpp, give_up, receipts });
+        let front = Rc::new(smpp::inbound::Frontend { shared: shared.clone(), smpp, give_up, receipts });
         executor.spawn(smpp::inbound::listen(front, listener, door_shut)).detach();
         tracing::info!("listens on {at} for SMPP");
     }
@@ -312,7 +313,7 @@
     let (look, looked) = bounded(1);
     let _ = to_module.send(ToModule::LastLook(look)).await;
     let _ = looked.recv().await;
-    tracing::info!("counters {}", shared.counters_now());
+    tracing::info!("counters {}", shared.counters_json());
     Ok(())
 }
 
@@ -333,7 +334,7 @@
 }
 
 /// Keys for members hold at once; what else differs in our own file is named.
-fn reload_product(shared: &Shared, ours: &Product, new: &Product) {
+fn reload_product(shared: &SharedState, ours: &Product, new: &Product) {
     if let (Some(peers), Some(d)) = (&shared.peers, &new.duties) {
         let _ = peers.try_send(ToPeers::Rekey(d.keys.clone()));
         tracing::info!("reload: members sign with key {}, {} are believed", d.keys.sign(), d.keys.believed());
@@ -363,7 +364,7 @@
 
 /// Reads the file again, and has all of it hold that can while this process runs. True if discovery has moved. What cannot
 /// be read, or is not whole, changes nothing.
-async fn reload(shared: &Shared, held: &mut Config, ours: &Product, reread: Reread<'_>) -> bool {
+async fn reload(shared: &SharedState, held: &mut Config, ours: &Product, reread: Reread<'_>) -> bool {
     let read = read_again(reread).await.map_err(String::from);
     let read = read.and_then(|(new, product)| held.check_next(&new).map(|()| (new, product)));
     let (new, product) = match read {
@@ -385,7 +386,7 @@
     tracing::info!("reload: discovery is at {}", new.discovery);
     let Config { settings, names, .. } = new.clone();
     let live = Box::new(LiveSettings { settings, names });
-    let _ = shared.module.send(ToModule::Settings(live)).await;
+    let _ = shared.core.send(ToModule::Settings(live)).await;
     // What waits for the next start is compared with what this one had.
     let Config { discovery, file, .. } = new;
     (held.discovery, held.file) = (discovery, file);
--- a/daemon/src/show.rs
+++ b/daemon/src/show.rs
@@ -18,16 +18,16 @@
         let mut conn = Conn::open(at, MOST).await?;
         let request = format!("GET {path} HTTP/1.1\r\nHost: {at}\r\nConnection: close\r\n\r\n");
         conn.write(request.as_bytes()).await?;
-        let answer = conn.answer(&clock, by).await?;
-        let (mut text, mut body) = (Vec::new(), conn.body(&answer, MOST)?);
-        while let Some(part) = conn.part(&mut body).await? {
+        let answer = conn.read_head(&clock, by).await?;
+        let (mut text, mut body) = (Vec::new(), conn.begin_body(&answer, MOST)?);
+        while let Some(part) = conn.read_part(&mut body).await? {
             text.extend_from_slice(part);
         }
         Ok::<_, std::io::Error>((answer.status, text))
     };
     match async_io::block_on(clock.before(by, asked)) {
-        Some(Ok((200, body))) => {
-            serde_json::from_slice(&body).map_err(|e| format!("{at}: {path} is not JSON: {e}"))
+        Some(Ok((200, begin_body))) => {
+            serde_json::from_slice(&begin_body).map_err(|e| format!("{at}: {path} is not JSON: {e}"))
         }
         Some(Ok((404, _))) => Err(format!("{at}: there is no {path}; it runs without [duties]")),
         Some(Ok((code, _))) => Err(format!("{at}: {path}: answer {code}")),
--- a/lab/src/experiments/slopes/wire.rs
+++ b/lab/src/experiments/slopes/wire.rs
@@ -3,7 +3,7 @@
 use crate::world::discovery::line;
 use onyxrock::core::NameIndex;
 use onyxrock::interface::EntryState;
-use onyxrock_daemon::list::endpoint;
+use onyxrock_daemon::list::roster_endpoint;
 use onyxrock_duties::{Member, Message};
 use onyxrock_membership::{Body, Key, Keys, Refused, Seal};
 use onyxrock_roster::Endpoint;
@@ -110,5 +110,5 @@
 
 /// An entry that was read, for the directory.
 pub fn as_endpoint(listed: &onyxrock_config::list::Listed) -> Endpoint<'_> {
-    endpoint(listed)
+    roster_endpoint(listed)
 }
