--- a/daemon/src/beside.rs
+++ b/daemon/src/beside.rs
@@ -2,7 +2,7 @@
 //! gone.
 
 use crate::folder::{Claim, Left, Other, remove};
-use crate::module::ToModule;
+use crate::module::CoreMessage;
 use crate::net::SharedState;
 use crate::shared_waits::WaitReader;
 use async_io::Timer;
@@ -62,7 +62,7 @@
             let [own, _] = self.claim.waits();
             self.waits = Some(self.reader());
             tracing::info!("another process of this forwarder is there");
-            let _ = self.shared.core.send(ToModule::Beside(Some(own))).await;
+            let _ = self.shared.core.send(CoreMessage::SiblingChanged(Some(own))).await;
         }
         self.hear().await;
     }
@@ -73,7 +73,7 @@
         match reader.read(&self.shared.clock) {
             Ok(told) => {
                 for one in told {
-                    let _ = self.shared.core.send(ToModule::HeardBeside(one)).await;
+                    let _ = self.shared.core.send(CoreMessage::FromSibling(one)).await;
                 }
             }
             Err(e) => tracing::warn!("waits: the other process's cannot be read: {e}"),
@@ -87,10 +87,10 @@
         if self.waits.take().is_some() {
             let [_, others] = self.claim.waits();
             let _ = remove(&others);
-            let _ = self.shared.core.send(ToModule::Beside(None)).await;
+            let _ = self.shared.core.send(CoreMessage::SiblingChanged(None)).await;
         }
         if left.is_there() && !self.shared.stopping.get() {
-            let _ = self.shared.core.send(ToModule::Adopt(left)).await;
+            let _ = self.shared.core.send(CoreMessage::TakeOverLog(left)).await;
         }
     }
 }
--- a/daemon/src/clock.rs
+++ b/daemon/src/clock.rs
@@ -42,7 +42,7 @@
     }
 
     pub fn now(&self) -> Micros {
-        self.wall.plus(self.up())
+        self.wall.plus(self.uptime())
     }
     /// Time since the boot, suspended or not: all processes of a machine read it alike.
     pub fn boot_time() -> Micros {
@@ -50,11 +50,11 @@
         Micros(time.tv_sec as u64 * 1_000_000 + time.tv_nsec as u64 / 1000)
     }
     /// How long this process has run.
-    pub fn up(&self) -> Micros {
+    pub fn uptime(&self) -> Micros {
         Micros(self.started.elapsed().as_micros() as u64)
     }
     /// Completes at a time; never, where there is none.
-    pub async fn until(&self, at: Option<Micros>) {
+    pub async fn sleep_until(&self, at: Option<Micros>) {
         match at {
             Some(at) => drop(Timer::after(span(at.since(self.now()))).await),
             None => future::pending().await,
@@ -62,9 +62,9 @@
     }
     /// The future's result, or none if the time comes first. The future has the first look, so that what is
     /// there already counts however late it is asked for.
-    pub async fn before<T>(&self, at: Micros, work: impl Future<Output = T>) -> Option<T> {
+    pub async fn timeout_at<T>(&self, at: Micros, work: impl Future<Output = T>) -> Option<T> {
         future::or(async { Some(work.await) }, async {
-            self.until(Some(at)).await;
+            self.sleep_until(Some(at)).await;
             None
         })
         .await
--- a/daemon/src/counters.rs
+++ b/daemon/src/counters.rs
@@ -4,13 +4,13 @@
 use std::cell::Cell;
 
 #[derive(Default, Debug)]
-pub struct Count(Cell<u64>);
+pub struct Counter(Cell<u64>);
 
-impl Count {
+impl Counter {
     pub fn up(&self) {
         self.0.set(self.0.get() + 1);
     }
-    pub fn down(&self) {
+    pub fn decrement(&self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
     pub fn set(&self, n: usize) {
@@ -25,9 +25,9 @@
     ($($name:ident),* $(,)?) => {
         /// One count for each thing worth knowing; `/counters` and the exit print them all.
         #[derive(Default, Debug)]
-        pub struct Counters { $(pub $name: Count),* }
+        pub struct Counters { $(pub $name: Counter),* }
         impl Counters {
-            pub fn json(&self) -> Value {
+            pub fn to_json(&self) -> Value {
                 let mut all: serde_json::Map<_, _> =
                     [$((stringify!($name).to_owned(), json!(self.$name.get()))),*].into_iter().collect();
                 all.insert("log_left_out".to_owned(), json!(crate::log::left_out()));
--- a/daemon/src/invariants.rs
+++ b/daemon/src/invariants.rs
@@ -2,7 +2,7 @@
 //! (`module/guard.rs`) lets pass is looked at again, by what was told to this process, and each violation is counted and
 //! logged with its ids. All counts are 0 in a sound process.
 
-use crate::counters::Count;
+use crate::counters::Counter;
 use crate::module::Permit;
 use crate::net::OutboundCall;
 use onyxrock::interface::{EntryState, ListEntry, Micros, ReceiverId};
@@ -35,21 +35,21 @@
 #[derive(Debug, Default)]
 pub struct Invariants {
     /// A call began at an endpoint more than a second after its drain was known.
-    pub drain: Count,
+    pub drain: Counter,
     /// A call began at an endpoint more than a second after operators had taken it out.
-    pub in_maintenance: Count,
+    pub in_maintenance: Counter,
     /// A call began during a wait that its endpoint had told.
-    pub wait: Count,
+    pub wait: Counter,
     /// A call began after the time in which the guard had allowed it.
-    pub late_attempt: Count,
+    pub late_attempt: Counter,
     /// A call began that its class does not allow to be repeated.
-    pub repeat: Count,
+    pub repeat: Counter,
     /// A call began that is not in the log.
-    pub unlogged: Count,
+    pub unlogged: Counter,
     /// A request was read and its connection closed by us without an answer.
-    pub unanswered: Count,
+    pub unanswered: Counter,
     /// An end was told more than 0.3 s after the message's time.
-    pub late_end: Count,
+    pub late_end: Counter,
     told: RefCell<BTreeMap<ReceiverId, Told>>,
     /// Messages of a process that is gone, whose time was over when they were taken over.
     found_overdue: RefCell<BTreeSet<String>>,
@@ -115,7 +115,7 @@
     }
 
     /// The first byte of a call is about to leave.
-    pub fn sends(&self, now: Micros, call: &OutboundCall, permit: &Permit) {
+    pub fn check_send(&self, now: Micros, call: &OutboundCall, permit: &Permit) {
         let told = self.told.borrow().get(&call.receiver).copied().unwrap_or_default();
         if told.drained.is_some_and(|at| now.since(at) > DRAIN_GRACE) {
             violated(&self.drain, call, "a call to an endpoint that drains or is gone");
@@ -165,29 +165,29 @@
     }
 }
 
-fn violated(count: &Count, call: &OutboundCall, what: &str) {
+fn violated(count: &Counter, call: &OutboundCall, what: &str) {
     count.up();
     tracing::error!(id = call.id, attempt = call.attempt, to = call.receiver.0, "violation: {what}");
 }
 
 /// A request that was read and is owed an answer: dropped without one, it counts as a violation.
-pub struct OwedAnswer<'a> {
+pub struct PendingResponse<'a> {
     invariants: &'a Invariants,
     owed: bool,
 }
 
-impl<'a> OwedAnswer<'a> {
-    pub fn new(invariants: &'a Invariants) -> OwedAnswer<'a> {
-        OwedAnswer { invariants, owed: true }
+impl<'a> PendingResponse<'a> {
+    pub fn new(invariants: &'a Invariants) -> PendingResponse<'a> {
+        PendingResponse { invariants, owed: true }
     }
 
     /// It was answered, or its client is not there any more to be answered.
-    pub fn settle(mut self) {
+    pub fn resolve(mut self) {
         self.owed = false;
     }
 }
 
-impl Drop for OwedAnswer<'_> {
+impl Drop for PendingResponse<'_> {
     fn drop(&mut self) {
         if self.owed {
             self.invariants.unanswered.up();
--- a/daemon/src/invariants/tests.rs
+++ b/daemon/src/invariants/tests.rs
@@ -43,7 +43,7 @@
     invariants.listed(START, &listed(listing));
     // Word of it again does not begin the grace anew.
     invariants.listed(START.plus(Micros(500_000)), &listed(listing));
-    invariants.sends(START.plus(Micros(after)), &call(false), &PERMIT);
+    invariants.check_send(START.plus(Micros(after)), &call(false), &PERMIT);
     assert_eq!((invariants.drain.get(), invariants.total()), (violations, violations));
 }
 
@@ -52,7 +52,7 @@
     let invariants = Invariants::default();
     invariants.listed(START, &listed(EntryState::Draining));
     invariants.listed(START, &listed(EntryState::Ready));
-    invariants.sends(START.plus(Micros(9_000_000)), &call(false), &PERMIT);
+    invariants.check_send(START.plus(Micros(9_000_000)), &call(false), &PERMIT);
     assert_eq!(invariants.total(), 0);
 }
 
@@ -71,7 +71,7 @@
     if put_back {
         invariants.maintenance(START.plus(Micros(600_000)), "e1", false);
     }
-    invariants.sends(START.plus(Micros(after)), &call(false), &PERMIT);
+    invariants.check_send(START.plus(Micros(after)), &call(false), &PERMIT);
     assert_eq!((invariants.in_maintenance.get(), invariants.total()), (violations, violations));
 }
 
@@ -83,7 +83,7 @@
     let invariants = Invariants::default();
     invariants.told_wait(START, TO, START.plus(Micros(800_000)));
     invariants.told_wait(START, TO, START.plus(Micros(300_000)));
-    invariants.sends(START.plus(Micros(after)), &call(false), &PERMIT);
+    invariants.check_send(START.plus(Micros(after)), &call(false), &PERMIT);
     assert_eq!((invariants.wait.get(), invariants.total()), (violations, violations));
 }
 
@@ -91,13 +91,13 @@
 fn what_the_guard_did_not_allow_is_counted() {
     let invariants = Invariants::default();
     let repeat = Permit { repeat: true, valid_until: START, ..PERMIT };
-    invariants.sends(START, &call(false), &repeat);
+    invariants.check_send(START, &call(false), &repeat);
     assert_eq!(invariants.total(), 0, "a repeat in time that takes no effect");
-    invariants.sends(START.plus(Micros(1)), &call(false), &repeat);
+    invariants.check_send(START.plus(Micros(1)), &call(false), &repeat);
     assert_eq!((invariants.late_attempt.get(), invariants.total()), (1, 1));
-    invariants.sends(START, &call(true), &repeat);
+    invariants.check_send(START, &call(true), &repeat);
     assert_eq!((invariants.repeat.get(), invariants.total()), (1, 2));
-    invariants.sends(START, &call(false), &Permit { logged: false, ..PERMIT });
+    invariants.check_send(START, &call(false), &Permit { logged: false, ..PERMIT });
     assert_eq!((invariants.unlogged.get(), invariants.total()), (1, 3));
 }
 
@@ -115,9 +115,9 @@
 #[test]
 fn a_request_without_an_answer_is_counted() {
     let invariants = Invariants::default();
-    OwedAnswer::new(&invariants).settle();
+    PendingResponse::new(&invariants).resolve();
     assert_eq!(invariants.total(), 0);
-    drop(OwedAnswer::new(&invariants));
+    drop(PendingResponse::new(&invariants));
     assert_eq!((invariants.unanswered.get(), invariants.total()), (1, 1));
 }
 
--- a/daemon/src/list/dns.rs
+++ b/daemon/src/list/dns.rs
@@ -1,7 +1,7 @@
 //! The list out of a zone file, kept up by dynamic updates that come to a socket of ours.
 
 use super::zone::Zone;
-use crate::module::ToModule;
+use crate::module::CoreMessage;
 use crate::net::SharedState;
 use async_channel::Receiver;
 use async_io::Async;
@@ -115,7 +115,7 @@
             shared.counters.list_answers.up();
             let (list, wrong) = dns.zone.endpoints(&dns.names);
             wrong.iter().for_each(|w| tracing::warn!("dns: {w}"));
-            if shared.core.send(ToModule::List(list)).await.is_err() {
+            if shared.core.send(CoreMessage::EndpointList(list)).await.is_err() {
                 return;
             }
         }
--- a/daemon/src/list/fetch.rs
+++ b/daemon/src/list/fetch.rs
@@ -63,7 +63,7 @@
     /// Asks for the list, over the connection of the last call where that is still good.
     pub async fn fetch(&self, kept: &mut Option<Conn>) -> Result<Fetched, Failed> {
         let mut conn = self.connection(kept).await?;
-        let answer = self.clock.before(self.answer_by, self.ask(&mut conn)).await.ok_or_else(late)??;
+        let answer = self.clock.timeout_at(self.answer_by, self.ask(&mut conn)).await.ok_or_else(late)??;
         let (fetched, again) = self.read(&mut conn, &answer).await?;
         *kept = again.then_some(conn);
         Ok(fetched)
@@ -73,7 +73,7 @@
         if let Some(conn) = kept.take().filter(|c| !c.is_stale()) {
             return Ok(conn);
         }
-        let open = self.clock.before(self.connect_by, Conn::open(self.address, PIECE)).await;
+        let open = self.clock.timeout_at(self.connect_by, Conn::open(self.address, PIECE)).await;
         let conn = open.ok_or_else(|| "no connection in time".to_owned())?;
         Ok(conn.map_err(text_of)?)
     }
@@ -111,7 +111,7 @@
         // A long list takes its time; one that comes by drops is as good as silence.
         let (mut soon, mut came) = (self.clock.now().plus(GRACE), 0);
         loop {
-            let part = self.clock.before(soon, conn.read_part(&mut body)).await.ok_or_else(late)?;
+            let part = self.clock.timeout_at(soon, conn.read_part(&mut body)).await.ok_or_else(late)?;
             let Some(part) = part.map_err(text_of)? else { break };
             came += part.len();
             if came >= PIECE {
--- a/daemon/src/list/follow.rs
+++ b/daemon/src/list/follow.rs
@@ -2,7 +2,7 @@
 
 use super::fetch::{Call, Failed, Fetched};
 use super::{DiscoveryParams, GRACE, ListPart, PAUSE};
-use crate::module::ToModule;
+use crate::module::CoreMessage;
 use crate::net::SharedState;
 use crate::net::http::client::Conn;
 use async_channel::{Receiver, bounded};
@@ -115,7 +115,7 @@
         (self.conn, self.discovery.generation, self.confirmed) = (None, None, false);
         // What the module wished for was a call to the old one.
         while self.wishes.try_recv().is_ok() {}
-        self.shared.core.send(ToModule::ListMoved).await.map_err(|_| ModuleGone)
+        self.shared.core.send(CoreMessage::DiscoveryMoved).await.map_err(|_| ModuleGone)
     }
 
     async fn follow(&mut self) -> Result<Next, ModuleGone> {
@@ -210,7 +210,7 @@
         };
         self.shared.counters.list_told.up();
         self.discovery.generation = Some(list.generation);
-        self.shared.core.send(ToModule::List(list)).await.map_err(|_| ModuleGone)?;
+        self.shared.core.send(CoreMessage::EndpointList(list)).await.map_err(|_| ModuleGone)?;
         Ok(Next::Call)
     }
 
@@ -282,7 +282,11 @@
         if again {
             return Ok(Next::Call);
         }
-        self.shared.core.send(ToModule::ListFailed { why, at_once }).await.map_err(|_| ModuleGone)?;
+        self.shared
+            .core
+            .send(CoreMessage::ListFailed { reason: why, immediate: at_once })
+            .await
+            .map_err(|_| ModuleGone)?;
         Ok(Next::WaitForModule)
     }
 
@@ -307,7 +311,9 @@
 
     /// Hands a list to the module in parts, so that no turn of it takes long.
     async fn pass(&self, generation: u64, whole: bool, entries: Staged) -> Result<(), ModuleGone> {
-        let send = async |part| self.shared.core.send(ToModule::Part(part)).await.map_err(|_| ModuleGone);
+        let send = async |part| {
+            self.shared.core.send(CoreMessage::EndpointListPart(part)).await.map_err(|_| ModuleGone)
+        };
         if whole {
             send(ListPart::Begin).await?;
         }
--- a/daemon/src/list/tests.rs
+++ b/daemon/src/list/tests.rs
@@ -1,7 +1,7 @@
 //! The list is followed, shown with a discovery service and a module that the test plays.
 
 use super::*;
-use crate::module::ToModule;
+use crate::module::CoreMessage;
 use crate::net::SharedState;
 use async_channel::{Receiver, bounded};
 use async_io::Timer;
@@ -18,7 +18,7 @@
 /// The list's actor between a discovery and a module that the test plays.
 struct Rig {
     shared: Rc<SharedState>,
-    messages: Receiver<ToModule>,
+    messages: Receiver<CoreMessage>,
     wishes: Sender<()>,
     moves: Sender<()>,
     _roles: Sender<ToList>,
@@ -78,9 +78,9 @@
         self.within(async {
             loop {
                 match self.messages.recv().await.ok()? {
-                    ToModule::Part(ListPart::Sweep(done)) => done.try_send(true).unwrap(),
-                    ToModule::Part(ListPart::End(generation)) => return Some(generation),
-                    ToModule::ListFailed { .. } => return None,
+                    CoreMessage::EndpointListPart(ListPart::Sweep(done)) => done.try_send(true).unwrap(),
+                    CoreMessage::EndpointListPart(ListPart::End(generation)) => return Some(generation),
+                    CoreMessage::ListFailed { .. } => return None,
                     _ => {}
                 }
             }
@@ -158,7 +158,9 @@
     let _second = TcpStream::connect_timeout(&at, Duration::from_millis(200));
     let rig = Rig::waiting(at, Micros(20_000_000));
     let failed = rig.within(async { rig.messages.recv().await.ok() });
-    assert!(matches!(failed, Some(ToModule::ListFailed { why, .. }) if why == "no connection in time"));
+    assert!(
+        matches!(failed, Some(CoreMessage::ListFailed { reason: why, .. }) if why == "no connection in time")
+    );
 }
 
 /// The old discovery is gone, the module has not wished yet, and there is a new one: whole, for versions of the old
--- a/daemon/src/maintenance.rs
+++ b/daemon/src/maintenance.rs
@@ -5,7 +5,7 @@
 //! are called at one moment lose neither change.
 
 use crate::folder::{read, remove};
-use crate::module::ToModule;
+use crate::module::CoreMessage;
 use crate::net::SharedState;
 use async_io::Timer;
 use std::collections::{BTreeSet, VecDeque};
@@ -25,15 +25,15 @@
 
 /// A call of operators that changes what is out.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Change {
+pub struct MaintenanceChange {
     pub endpoint: String,
     /// Taken out; put back, if not.
-    pub out: bool,
+    pub in_maintenance: bool,
 }
 
-impl Change {
+impl MaintenanceChange {
     fn apply(&self, names: &mut BTreeSet<String>) {
-        if self.out {
+        if self.in_maintenance {
             names.insert(self.endpoint.clone());
         } else {
             names.remove(&self.endpoint);
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 pub struct MaintenanceFile {
     folder: PathBuf,
-    unwritten: VecDeque<Change>,
+    unwritten: VecDeque<MaintenanceChange>,
 }
 
 impl MaintenanceFile {
@@ -68,7 +68,7 @@
     ///
     /// # Errors
     /// The folder does not take it: it waits, see [`MaintenanceFile::write`].
-    pub fn change(&mut self, change: Change) -> io::Result<()> {
+    pub fn change(&mut self, change: MaintenanceChange) -> io::Result<()> {
         self.unwritten.push_back(change);
         self.write()
     }
@@ -118,7 +118,7 @@
         let found = read(&file).ok();
         if found.is_some() && found != seen {
             seen = found;
-            if shared.core.send(ToModule::MaintenanceChanged).await.is_err() {
+            if shared.core.send(CoreMessage::MaintenanceFileChanged).await.is_err() {
                 return;
             }
         }
--- a/daemon/src/maintenance/tests.rs
+++ b/daemon/src/maintenance/tests.rs
@@ -9,8 +9,8 @@
     folder
 }
 
-fn change(endpoint: &str, out: bool) -> Change {
-    Change { endpoint: endpoint.into(), out }
+fn change(endpoint: &str, out: bool) -> MaintenanceChange {
+    MaintenanceChange { endpoint: endpoint.into(), in_maintenance: out }
 }
 
 fn names(all: &[&str]) -> BTreeSet<String> {
--- a/daemon/src/module/beside.rs
+++ b/daemon/src/module/beside.rs
@@ -1,6 +1,6 @@
 //! Another process of this forwarder beside this one: what endpoints tell one of them binds both.
 
-use super::Module;
+use super::CoreActor;
 use crate::shared_waits::{Shared, ToldDrain, ToldWait, WaitWriter};
 use onyxrock::interface::{Micros, ReceiverId};
 use onyxrock_roster::Follows;
@@ -48,7 +48,7 @@
     }
 }
 
-impl Module {
+impl CoreActor {
     /// Another process is beside this one, or is gone.
     pub(super) fn set_beside(&mut self, waits: Option<PathBuf>) {
         self.beside = waits.map(Beside::first);
--- a/daemon/src/module/calls.rs
+++ b/daemon/src/module/calls.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Module {
+impl CoreActor {
     pub(super) fn call(&mut self, now: Micros, n: u64, attempt: u32, to: ReceiverId, patience: Micros) {
         let Some(o) = self.ledger.get(n) else { return };
         let t = &o.accepted;
@@ -83,13 +83,18 @@
             may_have_run = o.first_possible_run.is_some(),
             "request ended: {end:?}"
         );
-        let ending =
-            Ending { n, id: t.request_id.clone(), note: t.frontend_note.clone(), deadline: t.deadline, end };
+        let ending = StatusNotice {
+            number: n,
+            id: t.request_id.clone(),
+            frontend_note: t.frontend_note.clone(),
+            deadline: t.deadline,
+            status: end,
+        };
         self.pass(ending);
     }
 
-    pub(super) fn pass(&mut self, ending: Ending) -> bool {
-        let front = self.ledger.get(ending.n).map_or(0, |o| o.accepted.frontend);
+    pub(super) fn pass(&mut self, ending: StatusNotice) -> bool {
+        let front = self.ledger.get(ending.number).map_or(0, |o| o.accepted.frontend);
         match self.fronts.get(&front).map(|f| f.try_send(ending)) {
             Some(Err(TrySendError::Full(ending))) => {
                 self.waiting.push_front(ending);
--- a/daemon/src/module/guard.rs
+++ b/daemon/src/module/guard.rs
@@ -1,8 +1,8 @@
 //! The one guard: whatever may send a call asks here right before its first byte, whoever decided on it and however long
 //! ago. It says yes with a [`Permit`], which the sender has to show, or how the call ends that must not go.
 
-use super::Module;
-use crate::counters::Count;
+use super::CoreActor;
+use crate::counters::Counter;
 use onyxrock::core::AttemptDenied;
 use onyxrock::interface::{Micros, ReceiverId, SendRecheck, Verdict};
 
@@ -20,33 +20,33 @@
 }
 
 /// What the guard says of a call whose first byte is about to leave, or of which some has been written.
-pub type Gate = Result<Permit, Verdict>;
+pub type PermitResult = Result<Permit, Verdict>;
 
 /// A call that asks.
 #[derive(Clone, Copy, Debug)]
-pub struct Asks {
+pub struct PermitRequest {
     pub n: u64,
     pub attempt: u32,
     pub to: ReceiverId,
     /// Some of it has been written; the rest waited.
-    pub begun: bool,
+    pub partly_written: bool,
 }
 
-impl Module {
+impl CoreActor {
     /// The last look before a call is written: whatever was asked when it was queued, for it may have waited for a
     /// connection meanwhile. One that has begun asks for what runs against its last byte alone.
-    pub(super) fn writing(&mut self, now: Micros, asks: Asks) -> Gate {
+    pub(super) fn writing(&mut self, now: Micros, asks: PermitRequest) -> PermitResult {
         let counters = &self.shared.counters;
-        let held_back = |why: &Count| {
+        let held_back = |why: &Counter| {
             why.up();
             Err(Verdict::HeldBack)
         };
         let Some(peer) = self.directory.peer(asks.to) else { return Err(Verdict::Moot) };
-        if self.hold && !asks.begun {
+        if self.hold && !asks.partly_written {
             return held_back(&counters.held_back_ending);
         }
         // The list that told of the drain may have taken its time: there is no grace left to use up.
-        if peer.drains.is_some() && !asks.begun {
+        if peer.drains.is_some() && !asks.partly_written {
             let in_maintenance = self.directory.maintenance().contains(&peer.name);
             let why =
                 if in_maintenance { &counters.held_back_maintenance } else { &counters.held_back_drain };
@@ -59,7 +59,7 @@
             SendRecheck::Allowed => {}
         }
         let valid_until = self.ledger.send_deadline(asks.n, asks.attempt).unwrap_or(Micros(u64::MAX));
-        if asks.begun {
+        if asks.partly_written {
             return Ok(Permit { epoch: 0, valid_until, repeat: false, logged: true });
         }
         if self.ledger.probe_is_open(asks.n) {
@@ -68,7 +68,7 @@
         self.attempt_may_go(now, asks, valid_until)
     }
 
-    fn probe_may_go(&mut self, now: Micros, n: u64, valid_until: Micros) -> Gate {
+    fn probe_may_go(&mut self, now: Micros, n: u64, valid_until: Micros) -> PermitResult {
         let Some(probing) = &mut self.probing else { return Err(Verdict::Moot) };
         let may = probing.writing(now, n);
         let counters = &self.shared.counters;
@@ -78,7 +78,7 @@
     }
 
     /// An attempt that is not in the log could be made again after a restart.
-    fn attempt_may_go(&mut self, now: Micros, asks: Asks, valid_until: Micros) -> Gate {
+    fn attempt_may_go(&mut self, now: Micros, asks: PermitRequest, valid_until: Micros) -> PermitResult {
         let Some(peer) = self.directory.peer(asks.to) else { return Err(Verdict::Moot) };
         let repeat = self
             .ledger
--- a/daemon/src/module/listing.rs
+++ b/daemon/src/module/listing.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Module {
+impl CoreActor {
     /// A gateway is an endpoint of its destination, and stays one.
     pub fn gateway(&mut self, g: Gateway) {
         let now = self.shared.clock.now();
--- a/daemon/src/module/maintenance.rs
+++ b/daemon/src/module/maintenance.rs
@@ -1,8 +1,8 @@
 //! Endpoints that operators take out of use and put back: the calls themselves, and what another process of this forwarder
 //! was told.
 
-use super::Module;
-use crate::maintenance::{Change, MaintenanceFile};
+use super::CoreActor;
+use crate::maintenance::{MaintenanceChange, MaintenanceFile};
 use onyxrock::interface::Micros;
 use onyxrock_roster::Follows;
 use std::collections::BTreeSet;
@@ -12,18 +12,18 @@
 
 /// What became of a call of operators.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub enum MaintenanceAnswer {
+pub enum MaintenanceReply {
     /// It holds, and outlasts this process.
     Done,
     /// It holds here. The folder does not take it yet, as the reason says.
-    NotKept(String),
+    NotPersisted(String),
     /// No endpoint has this name.
     Unknown,
     /// The file has no room for one more.
     TooMany,
 }
 
-impl Module {
+impl CoreActor {
     /// Those that an earlier process, or another one, was told.
     pub fn begin_maintenance(&mut self, names: &BTreeSet<String>) {
         if !names.is_empty() {
@@ -35,19 +35,20 @@
     }
 
     /// A call of operators. It holds from here on, whatever the folder does.
-    pub(super) fn maintenance_call(&mut self, now: Micros, change: Change) -> MaintenanceAnswer {
+    pub(super) fn maintenance_call(&mut self, now: Micros, change: MaintenanceChange) -> MaintenanceReply {
         if self.directory.known(&change.endpoint).is_err() {
-            return MaintenanceAnswer::Unknown;
+            return MaintenanceReply::Unknown;
         }
-        if change.out && !MaintenanceFile::has_room(self.directory.maintenance(), &change.endpoint) {
-            return MaintenanceAnswer::TooMany;
+        if change.in_maintenance && !MaintenanceFile::has_room(self.directory.maintenance(), &change.endpoint)
+        {
+            return MaintenanceReply::TooMany;
         }
-        self.set_maintenance(now, &change.endpoint, change.out);
+        self.set_maintenance(now, &change.endpoint, change.in_maintenance);
         match self.maintenance_file.change(change) {
-            Ok(()) => MaintenanceAnswer::Done,
+            Ok(()) => MaintenanceReply::Done,
             Err(e) => {
                 self.maintenance_again_at = now.plus(AGAIN);
-                MaintenanceAnswer::NotKept(e.to_string())
+                MaintenanceReply::NotPersisted(e.to_string())
             }
         }
     }
--- a/daemon/src/module/messages.rs
+++ b/daemon/src/module/messages.rs
@@ -1,9 +1,9 @@
 //! What the module is told and asked, and what it answers.
 
-use super::{Asks, Gate, MaintenanceAnswer};
+use super::{MaintenanceReply, PermitRequest, PermitResult};
 use crate::folder::Left;
 use crate::list::ListPart;
-use crate::maintenance::Change;
+use crate::maintenance::MaintenanceChange;
 use crate::shared_waits::Shared;
 use async_channel::Sender;
 use onyxrock::core::{AcceptedMessage, AttemptOutcome, FinalStatus, NameIndex};
@@ -14,23 +14,23 @@
 use std::path::PathBuf;
 
 #[derive(Debug)]
-pub struct HandIn {
-    pub taken: AcceptedMessage,
-    pub reply: Sender<Reply>,
+pub struct Submission {
+    pub message: AcceptedMessage,
+    pub reply: Sender<SubmitReply>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reply {
-    Taken(u64),
+pub enum SubmitReply {
+    Accepted(u64),
     FailFast(Option<Micros>),
     /// The same, since no more can be held.
     Full,
     /// No such class or tenant.
-    Unknown,
+    UnknownClassOrTenant,
     /// The list has never named its destination.
-    Nowhere,
+    UnknownDestination,
     /// Its id has been used, and that request could still run.
-    Again,
+    DuplicateId,
 }
 
 /// Settings that hold from now on.
@@ -42,76 +42,76 @@
 
 /// The module's mailbox.
 #[derive(Debug)]
-pub enum ToModule {
-    HandIn(HandIn),
+pub enum CoreMessage {
+    Submit(Submission),
     /// The answer that it was taken on did not reach its client.
-    Unheard(u64),
+    ReplyNotDelivered(u64),
     /// A client that may be gone: it is owed no more if nothing of it has begun, as the answer says.
-    TakeBack(u64, Sender<bool>),
+    WithdrawIfUntried(u64, Sender<bool>),
     /// A call is about to be written: may it go?
-    Writing {
-        asks: Asks,
+    RequestPermit {
+        request: PermitRequest,
         /// Where its connection leads.
-        at: SocketAddr,
-        reply: Sender<Gate>,
+        address: SocketAddr,
+        reply: Sender<PermitResult>,
     },
     /// An endpoint has told a wait, and its answer has not ended yet.
-    Wait {
-        to: ReceiverId,
+    RetryAfter {
+        receiver: ReceiverId,
         until: Micros,
     },
-    Answered(AttemptOutcome),
-    List(List),
+    AttemptEnded(AttemptOutcome),
+    EndpointList(List),
     /// One part of a list that is too long for one message.
-    Part(ListPart),
+    EndpointListPart(ListPart),
     ListFailed {
-        why: String,
+        reason: String,
         /// The call failed at once.
-        at_once: bool,
+        immediate: bool,
     },
     /// Discovery has moved, and is asked there.
-    ListMoved,
+    DiscoveryMoved,
     /// A client has been told of an end.
-    Told(u64),
+    NoticeDelivered(u64),
     /// From other instances.
-    Peers(FromPeers),
+    FromMembers(FromPeers),
     /// Shows the duties, as JSON.
-    Duties(Sender<serde_json::Value>),
+    DescribeDuties(Sender<serde_json::Value>),
     /// Operators take an endpoint out, or put it back.
-    Maintenance {
-        change: Change,
-        reply: Sender<MaintenanceAnswer>,
+    ChangeMaintenance {
+        change: MaintenanceChange,
+        reply: Sender<MaintenanceReply>,
     },
     /// The file of what operators have taken out is another one than it was.
-    MaintenanceChanged,
+    MaintenanceFileChanged,
     /// New settings.
-    Settings(Box<LiveSettings>),
+    NewSettings(Box<LiveSettings>),
     /// Another process of this forwarder is beside this one, and this is where it is told of waits; none once it is gone.
-    Beside(Option<PathBuf>),
+    SiblingChanged(Option<PathBuf>),
     /// What that process has told of waits.
-    HeardBeside(Shared),
+    FromSibling(Shared),
     /// What another process of this forwarder owed, which is gone.
-    Adopt(Left),
+    TakeOverLog(Left),
     /// Hold all further sends.
-    Hold,
+    StopSending,
     /// The process ends now: what it leaves to the next one is looked at once more.
-    LastLook(Sender<()>),
+    FinalCheck(Sender<()>),
     /// Says when no call is out any more.
-    Quiet(Sender<()>),
+    NotifyWhenNoCalls(Sender<()>),
 }
 
-impl From<FromPeers> for ToModule {
-    fn from(news: FromPeers) -> ToModule {
-        ToModule::Peers(news)
+impl From<FromPeers> for CoreMessage {
+    fn from(news: FromPeers) -> CoreMessage {
+        CoreMessage::FromMembers(news)
     }
 }
 
 /// The end of a request, on its way to its client.
 #[derive(Clone, Debug)]
-pub struct Ending {
-    pub n: u64,
+pub struct StatusNotice {
+    pub number: u64,
     pub id: String,
-    pub note: String,
+    pub frontend_note: String,
     pub deadline: Micros,
-    pub end: FinalStatus,
+    pub status: FinalStatus,
 }
--- a/daemon/src/module/records.rs
+++ b/daemon/src/module/records.rs
@@ -1,7 +1,7 @@
 //! Records on their way to the log. The folder may fail for a while: what must be in the log before something is done is
 //! refused then, and what has happened already waits, in order, until it can be written.
 
-use super::Module;
+use super::CoreActor;
 use onyxrock::core::{OpenMessage, Record};
 use onyxrock::interface::Micros;
 use std::collections::VecDeque;
@@ -25,7 +25,7 @@
     }
 }
 
-impl Module {
+impl CoreActor {
     /// Puts records in the log, behind all that waits. False if they are not in it: then nothing may be done that they
     /// have to be there for.
     pub(super) fn keep_now(&mut self, records: &[Record]) -> bool {
--- a/daemon/src/module/takeover.rs
+++ b/daemon/src/module/takeover.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Module {
+impl CoreActor {
     /// Takes note of what this forwarder's own log says of messages, those too that are over.
     pub fn knows(&mut self, records: &[Record]) {
         self.seen = records
--- a/daemon/src/module/tests.rs
+++ b/daemon/src/module/tests.rs
@@ -7,7 +7,7 @@
 use onyxrock_roster::{Rules, Terms};
 use rstest::rstest;
 
-fn module(folder: &std::path::Path) -> Module {
+fn module(folder: &std::path::Path) -> CoreActor {
     let shared = SharedState::for_test(bounded(8).0);
     let class =
         ClassSettings { give_up_after: Micros(9_000_000), effect: Effect::Unsafe, ..Default::default() };
@@ -24,16 +24,16 @@
     let ledger = Ledger::new(settings, names, Default::default(), 1);
     let wal = Wal::open(folder, 1_000_000).unwrap().0;
     let rules = Rules { most: 100, rest: None, terms: Terms::default(), zones: BTreeMap::new() };
-    Module::new(shared, ledger, wal, bounded(1).0, BTreeMap::new(), 4, Directory::new(rules))
+    CoreActor::new(shared, ledger, wal, bounded(1).0, BTreeMap::new(), 4, Directory::new(rules))
 }
 
 /// An attempt of message 1 at the one endpoint.
-fn asks(attempt: u32, begun: bool) -> Asks {
-    Asks { n: 1, attempt, to: ReceiverId(1), begun }
+fn asks(attempt: u32, begun: bool) -> PermitRequest {
+    PermitRequest { n: 1, attempt, to: ReceiverId(1), partly_written: begun }
 }
 
 /// One that has a list and has taken on message 1, in a folder of its own.
-fn busy(name: &str) -> (std::path::PathBuf, Module, Micros) {
+fn busy(name: &str) -> (std::path::PathBuf, CoreActor, Micros) {
     let folder = std::env::temp_dir().join(format!("onyxrock-module-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let mut m = module(&folder);
@@ -106,7 +106,7 @@
         assert!(m.writing(now, asks(0, false)).is_ok());
     }
     let (reply, back) = bounded(1);
-    m.take(ToModule::TakeBack(1, reply));
+    m.take(CoreMessage::WithdrawIfUntried(1, reply));
     assert_eq!((back.try_recv(), m.ledger.get(1).is_some()), (Ok(!begun), begun));
     let logged = recover(Wal::open(&folder, 1_000_000).unwrap().1.records);
     assert_eq!(logged.contains_key(&1), begun, "the next process knows it, too");
@@ -142,7 +142,7 @@
         },
     );
     m.settle();
-    let queued = |m: &Module| m.mailboxes.values().map(Sender::len).sum::<usize>();
+    let queued = |m: &CoreActor| m.mailboxes.values().map(Sender::len).sum::<usize>();
     assert_eq!(queued(&m), 0);
     match told {
         Some(listing) => m.list(m.shared.clock.now(), list(listing)),
@@ -167,7 +167,7 @@
     m.list(now, moved);
     let mut asks = |at| {
         let (reply, says) = bounded(1);
-        m.take(ToModule::Writing { asks: asks(0, false), at, reply });
+        m.take(CoreMessage::RequestPermit { request: asks(0, false), address: at, reply });
         says.try_recv().unwrap()
     };
     assert_eq!(asks(at), Err(Verdict::HeldBack));
@@ -185,7 +185,7 @@
     let to = ReceiverId(1);
     let (told, late) = (now.plus(Micros(300_000)), now.plus(Micros(900_000)));
     assert!(m.writing(told, asks(0, false)).is_ok(), "nothing was told yet");
-    m.take(ToModule::Wait { to, until: told.plus(Micros(2_000_000)) });
+    m.take(CoreMessage::RetryAfter { receiver: to, until: told.plus(Micros(2_000_000)) });
     assert_eq!(m.writing(late, asks(0, true)), Err(Verdict::HeldBack), "its last byte would come too late");
     assert_eq!(m.shared.counters.held_back_wait.get(), 1);
     let (elapsed, verdict) = (late.since(now), Verdict::HeldBack);
@@ -237,7 +237,7 @@
     let Ok(crate::folder::Other::Free(left)) = claim.other() else { panic!("nobody is there") };
     m.copy(&left).unwrap();
     let n = m.ledger.open_messages().next().expect("it is taken over").accepted.number;
-    m.take(ToModule::Told(n));
+    m.take(CoreMessage::NoticeDelivered(n));
     m.copy(&left).unwrap();
     assert_eq!(m.ledger.open_messages().count(), 0, "its log is still there");
     let scan = Wal::open(&folder, 1_000_000).unwrap().1;
@@ -370,14 +370,17 @@
 fn a_queued_call_is_not_written_once_operators_have_taken_its_endpoint_out() {
     let (folder, mut m, now) = busy("maintenance");
     m.ledger.decide(now, true, &mut Vec::new());
-    let change = |endpoint: &str, out| crate::maintenance::Change { endpoint: endpoint.into(), out };
-    assert_eq!(m.maintenance_call(now, change("nobody", true)), MaintenanceAnswer::Unknown);
-    assert_eq!(m.maintenance_call(now, change("e", true)), MaintenanceAnswer::Done);
+    let change = |endpoint: &str, out| crate::maintenance::MaintenanceChange {
+        endpoint: endpoint.into(),
+        in_maintenance: out,
+    };
+    assert_eq!(m.maintenance_call(now, change("nobody", true)), MaintenanceReply::Unknown);
+    assert_eq!(m.maintenance_call(now, change("e", true)), MaintenanceReply::Done);
     assert_eq!(m.writing(now, asks(0, false)), Err(Verdict::HeldBack));
     assert_eq!(m.shared.counters.held_back_maintenance.get(), 1);
     m.list(now, list(EntryState::Ready));
     assert_eq!(m.writing(now, asks(0, false)), Err(Verdict::HeldBack), "whatever the list says");
-    assert_eq!(m.maintenance_call(now, change("e", false)), MaintenanceAnswer::Done);
+    assert_eq!(m.maintenance_call(now, change("e", false)), MaintenanceReply::Done);
     assert!(m.writing(now, asks(0, false)).is_ok());
     std::fs::remove_dir_all(&folder).unwrap();
 }
@@ -389,8 +392,8 @@
     // The next file cannot be written while a folder has its name.
     let [file, next] = crate::maintenance::files(&folder);
     std::fs::create_dir(&next).unwrap();
-    let change = crate::maintenance::Change { endpoint: "e".into(), out: true };
-    assert!(matches!(m.maintenance_call(now, change), MaintenanceAnswer::NotKept(_)));
+    let change = crate::maintenance::MaintenanceChange { endpoint: "e".into(), in_maintenance: true };
+    assert!(matches!(m.maintenance_call(now, change), MaintenanceReply::NotPersisted(_)));
     m.maintenance_changed(now);
     assert!(m.directory.maintenance().contains("e"), "the file does not say it yet");
     std::fs::remove_dir(&next).unwrap();
@@ -409,7 +412,7 @@
     if called {
         assert!(m.writing(now, asks(0, false)).is_ok());
     }
-    m.take(ToModule::Hold);
+    m.take(CoreMessage::StopSending);
     let deadline = m.ledger.get(1).expect("it is owed").accepted.deadline;
     assert_eq!(m.due(now), (!called).then_some(deadline), "a call that is out is waited for");
     let verdict = if called { Verdict::TimedOut } else { Verdict::HeldBack };
--- a/daemon/src/net/http/client.rs
+++ b/daemon/src/net/http/client.rs
@@ -135,10 +135,10 @@
     pub async fn read_head(&mut self, clock: &Clock, until: Micros) -> Result<Answer, Lost> {
         for _ in 0..=INTERIM_MOST {
             if self.buffer.is_empty() {
-                clock.before(until, self.more()).await.unwrap_or(Err(Lost::TimedOut))?;
+                clock.timeout_at(until, self.more()).await.unwrap_or(Err(Lost::TimedOut))?;
             }
             let soon = clock.now().plus(TAIL);
-            let read = clock.before(soon, self.head()).await;
+            let read = clock.timeout_at(soon, self.head()).await;
             match read.unwrap_or(Err(Lost::Spoilt("a head without end".into()))) {
                 Ok(interim) if (100..200).contains(&interim.status) => {}
                 Ok(answer) => return Ok(answer),
--- a/daemon/src/net/http/endpoint.rs
+++ b/daemon/src/net/http/endpoint.rs
@@ -4,7 +4,7 @@
 use super::client::{Again, Answer, Conn, Lost, TAIL, is_local};
 use super::reuse::AT_ONCE;
 use crate::clock::Clock;
-use crate::module::ToModule;
+use crate::module::CoreMessage;
 use crate::net::{OutboundCall, SharedState, ToEndpoint};
 use async_channel::{Receiver, Sender, bounded};
 use futures_lite::future;
@@ -41,7 +41,7 @@
         let back = async { (None, given_back.recv().await.ok()) };
         let next = async { (Some(inbox.recv().await), None) };
         let retire = async {
-            shared.clock.until(oldest).await;
+            shared.clock.sleep_until(oldest).await;
             (None, None)
         };
         let (message, back) = future::or(future::or(back, next), retire).await;
@@ -51,7 +51,7 @@
             Some(Back::Sound(sound)) => {
                 let (mut conn, to) = *sound;
                 if !keeps || to != address || shared.counters.outbound_open.get() > shared.max_outbound {
-                    shared.counters.outbound_open.down();
+                    shared.counters.outbound_open.decrement();
                 } else {
                     conn.rest_buffer();
                     idle.push(Idle { since: now, conn });
@@ -74,7 +74,7 @@
                     let good =
                         shared.reuse_stats.borrow_mut().allows(now.since(i.since), call.unsafe_to_repeat);
                     if !good {
-                        shared.counters.outbound_open.down();
+                        shared.counters.outbound_open.decrement();
                         shared.counters.outbound_passed_over.up();
                     }
                     good
@@ -110,7 +110,7 @@
 }
 
 fn close_all(shared: &SharedState, idle: &mut Vec<Idle>) {
-    idle.drain(..).for_each(|_| shared.counters.outbound_open.down());
+    idle.drain(..).for_each(|_| shared.counters.outbound_open.decrement());
 }
 
 /// An endpoint closes what has been idle for the platform's limit, and a request that crosses that close may
@@ -119,7 +119,7 @@
     idle.retain(|i| {
         let keep = shared.idle_timeout.is_none_or(|most| now.since(i.since) < most) && !i.conn.is_stale();
         if !keep {
-            shared.counters.outbound_open.down();
+            shared.counters.outbound_open.decrement();
         }
         keep
     });
@@ -147,12 +147,12 @@
     if matches!(verdict, Verdict::TimedOut | Verdict::Reset | Verdict::Stale) {
         let _ = give_back.try_send(Back::Suspect);
     }
-    let _ = shared.core.send(ToModule::Answered(answered)).await;
+    let _ = shared.core.send(CoreMessage::AttemptEnded(answered)).await;
     let sound = match (answer, conn) {
         // A delivery needed the first line only; the connection is good for another call after the rest.
         (Some(mut answer), Some(mut conn)) => {
             let tail = shared.clock.now().plus(TAIL);
-            let again = shared.clock.before(tail, conn.discard_body(&mut answer)).await;
+            let again = shared.clock.timeout_at(tail, conn.discard_body(&mut answer)).await;
             Some(conn).filter(|_| matches!(again, Some(Ok(true))))
         }
         // The call was held back: nothing has gone over its connection.
@@ -164,7 +164,7 @@
     {
         return;
     }
-    shared.counters.outbound_open.down();
+    shared.counters.outbound_open.decrement();
 }
 
 /// Makes one attempt. A connection that is not handed back is closed, which is how a call is given up.
@@ -177,12 +177,12 @@
     if let Some(Idle { since, conn }) = idle {
         let settled = since.plus(SETTLE);
         if settled > clock.now() {
-            clock.until(Some(settled)).await;
+            clock.sleep_until(Some(settled)).await;
         }
         kept = Some(conn).filter(|c| !c.is_stale());
         rested = kept.as_ref().map(|_| clock.now().since(since));
         if kept.is_none() {
-            counters.outbound_open.down();
+            counters.outbound_open.decrement();
         }
     }
     let mut conn = match kept {
@@ -194,11 +194,11 @@
             counters.outbound_open.up();
             counters.outbound_opened.up();
             let by = until.min(clock.now().plus(shared.connect_timeout));
-            match clock.before(by, Conn::open(address, MAX_HEAD_BYTES)).await {
+            match clock.timeout_at(by, Conn::open(address, MAX_HEAD_BYTES)).await {
                 Some(Ok(conn)) => conn,
                 Some(Err(e)) if is_local(&e) => {
                     counters.held_back_local.up();
-                    clock.until(Some(clock.now().plus(LOCAL_PAUSE))).await;
+                    clock.sleep_until(Some(clock.now().plus(LOCAL_PAUSE))).await;
                     return (Verdict::HeldBack, None, None);
                 }
                 _ => return (Verdict::ConnectFailed, None, None),
@@ -235,7 +235,7 @@
             break;
         }
         // A call counts when its last byte has come: what has to wait for room asks again. Closed here it never ran.
-        if !matches!(clock.before(until, conn.room()).await, Some(Ok(()))) {
+        if !matches!(clock.timeout_at(until, conn.room()).await, Some(Ok(()))) {
             return (Verdict::ConnectFailed, None, None);
         }
         if let Err(verdict) = shared.request_permit(call, address, true).await {
@@ -267,13 +267,16 @@
             Again::Unsaid => {}
         }
         if told.get() > Micros(0) && !conn.whole(&answer) {
-            let _ = shared.core.send(ToModule::Wait { to: call.receiver, until: told.get() }).await;
+            let _ = shared
+                .core
+                .send(CoreMessage::RetryAfter { receiver: call.receiver, until: told.get() })
+                .await;
         }
     }
     // That a call has not run is believed only of an answer that is whole.
     if answer.status != 200 {
         let tail = clock.now().plus(TAIL);
-        match clock.before(tail, conn.discard_body(&mut answer)).await {
+        match clock.timeout_at(tail, conn.discard_body(&mut answer)).await {
             Some(Ok(_)) => {}
             Some(Err(e)) => return spoilt(shared, address, &e.to_string()),
             None => return spoilt(shared, address, "a body without end"),
--- a/daemon/src/net/http/endpoint/tests.rs
+++ b/daemon/src/net/http/endpoint/tests.rs
@@ -11,7 +11,7 @@
 /// An endpoint's actor between a peer and a module that the test plays.
 struct Rig {
     shared: Rc<SharedState>,
-    module: Receiver<ToModule>,
+    module: Receiver<CoreMessage>,
     mailbox: Sender<ToEndpoint>,
     peer: TcpListener,
 }
@@ -45,18 +45,20 @@
         self.mailbox.try_send(ToEndpoint::Call(Box::new(call))).unwrap();
         wanted
     }
-    fn message(&self) -> ToModule {
+    fn message(&self) -> CoreMessage {
         async_io::block_on(self.shared.executor.run(self.module.recv())).unwrap()
     }
     /// The actor asks whether its call may go.
-    fn gate(&self, says: crate::module::Gate) -> bool {
-        let ToModule::Writing { asks, reply, .. } = self.message() else { panic!("no question") };
+    fn gate(&self, says: crate::module::PermitResult) -> bool {
+        let CoreMessage::RequestPermit { request: asks, reply, .. } = self.message() else {
+            panic!("no question")
+        };
         reply.try_send(says).unwrap();
-        asks.begun
+        asks.partly_written
     }
     fn answered(&self) -> AttemptOutcome {
         match self.message() {
-            ToModule::Answered(a) => a,
+            CoreMessage::AttemptEnded(a) => a,
             other => panic!("{other:?}"),
         }
     }
@@ -100,14 +102,14 @@
     stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
     assert_eq!(rig.answered().verdict, Verdict::Delivered);
     let _second = rig.call("second", 0);
-    let ToModule::Writing { reply, .. } = rig.message() else { panic!("no question") };
+    let CoreMessage::RequestPermit { reply, .. } = rig.message() else { panic!("no question") };
     assert_eq!(rig.shared.counters.outbound_reused.get(), 1);
     drop(stream);
     reply.try_send(Ok(PERMIT)).unwrap();
     assert_eq!(rig.answered().verdict, Verdict::HeldBack, "a kept one");
     assert_eq!(rig.shared.counters.held_back_closed.get(), 1);
     let _third = rig.call("third", 0);
-    let ToModule::Writing { reply, .. } = rig.message() else { panic!("no question") };
+    let CoreMessage::RequestPermit { reply, .. } = rig.message() else { panic!("no question") };
     drop(rig.peer.accept().unwrap());
     reply.try_send(Ok(PERMIT)).unwrap();
     assert_eq!(rig.answered().verdict, Verdict::ConnectFailed, "a new one");
@@ -191,7 +193,7 @@
     if ends {
         stream.shutdown(Shutdown::Write).unwrap();
     }
-    let ToModule::Wait { to, until } = rig.message() else { panic!("the head was whole") };
+    let CoreMessage::RetryAfter { receiver: to, until } = rig.message() else { panic!("the head was whole") };
     assert_eq!((to, until >= before.plus(Micros(2_500_000))), (ReceiverId(7), true));
     let a = rig.answered();
     assert_eq!((a.verdict, a.wait_until), (verdict, until));
@@ -208,8 +210,8 @@
     let mut told = Micros(0);
     let a = loop {
         match rig.message() {
-            ToModule::Wait { until, .. } => told = until,
-            ToModule::Answered(a) => break a,
+            CoreMessage::RetryAfter { until, .. } => told = until,
+            CoreMessage::AttemptEnded(a) => break a,
             other => panic!("{other:?}"),
         }
     };
--- a/daemon/src/net/http/inbound.rs
+++ b/daemon/src/net/http/inbound.rs
@@ -1,8 +1,8 @@
 //! The clients' side: one actor a connection.
 
 use super::{BODY_MOST, Framing, HEADERS, MAX_HEAD_BYTES, client_seconds, framing};
-use crate::invariants::OwedAnswer;
-use crate::module::{HandIn, Reply, ToModule};
+use crate::invariants::PendingResponse;
+use crate::module::{CoreMessage, Submission, SubmitReply};
 use crate::net::buffer::{Buffer, write_whole};
 use crate::net::smpp::Note;
 use crate::net::{ListState, SharedState};
@@ -102,7 +102,7 @@
     let (shared, executor) = (shared.clone(), shared.executor.clone());
     let actor = async move {
         Inbound::new(&shared, stream).run().await;
-        shared.counters.inbound_open.down();
+        shared.counters.inbound_open.decrement();
     };
     executor.spawn(actor).detach();
 }
@@ -177,7 +177,7 @@
             let close = f.close || self.shared.stopping.get() || self.wrong + 1 >= WRONG_MOST;
             let wrong = self.wrong;
             counters.requests_read.up();
-            let owed = OwedAnswer::new(&self.shared.invariants);
+            let owed = PendingResponse::new(&self.shared.invariants);
             let done = match parse(&bytes, body_at, at) {
                 Err(bad) => self.turn_away(bad, close).await,
                 Ok(Ask::Ready) => self.ready(close).await,
@@ -190,7 +190,7 @@
                 Ok(Ask::HandIn(taken)) => self.hand_in(*taken, close).await,
             };
             drop(bytes);
-            owed.settle();
+            owed.resolve();
             if done.is_err() {
                 counters.requests_abandoned.up();
                 return;
@@ -239,7 +239,7 @@
         }
     }
     async fn duties(shared: &SharedState, reply: Sender<Value>) -> bool {
-        shared.core.send(ToModule::Duties(reply)).await.is_ok()
+        shared.core.send(CoreMessage::DescribeDuties(reply)).await.is_ok()
     }
 
     /// Reads one request.
@@ -269,7 +269,7 @@
             let shared = self.shared;
             let fill = async { Some(self.buffer.fill(&mut self.stream).await) };
             let give_up = async {
-                let late = shared.clock.until(Some(until));
+                let late = shared.clock.sleep_until(Some(until));
                 let go = async { self.go.1.recv().await.unwrap_or_default() };
                 // A new one has not said anything only because it has just come.
                 let ending = async {
@@ -328,7 +328,7 @@
                 }
             }
         };
-        self.shared.clock.before(until, drain).await;
+        self.shared.clock.timeout_at(until, drain).await;
     }
 
     async fn turn_away(&mut self, Bad(status, why): Bad, close: bool) -> std::io::Result<()> {
@@ -339,13 +339,13 @@
 
     async fn hand_in(&mut self, taken: AcceptedMessage, close: bool) -> std::io::Result<()> {
         let (reply, answer) = bounded(1);
-        let message = ToModule::HandIn(HandIn { taken, reply });
+        let message = CoreMessage::Submit(Submission { message: taken, reply });
         let reply = match self.shared.core.send(message).await {
-            Ok(()) => answer.recv().await.unwrap_or(Reply::FailFast(None)),
-            Err(_) => Reply::FailFast(None),
+            Ok(()) => answer.recv().await.unwrap_or(SubmitReply::FailFast(None)),
+            Err(_) => SubmitReply::FailFast(None),
         };
         match reply {
-            Reply::Taken(n) => {
+            SubmitReply::Accepted(n) => {
                 let heard = match self.stream.get_ref().peek(&mut [0]) {
                     Ok(0) if self.take_back(n).await => return self.answer(503, None, "", close).await,
                     Err(e) if e.kind() != std::io::ErrorKind::WouldBlock => Err(e),
@@ -353,15 +353,17 @@
                 };
                 if heard.is_err() {
                     self.shared.counters.unheard.up();
-                    let _ = self.shared.core.send(ToModule::Unheard(n)).await;
+                    let _ = self.shared.core.send(CoreMessage::ReplyNotDelivered(n)).await;
                 }
                 heard
             }
-            Reply::Full => self.answer(503, Some(FULL_WAIT), "", close).await,
-            Reply::FailFast(wait) => self.answer(503, wait, "", close).await,
-            Reply::Unknown => self.turn_away(Bad(400, "unknown class or tenant"), close).await,
-            Reply::Nowhere => self.turn_away(Bad(404, "no such destination"), close).await,
-            Reply::Again => self.turn_away(Bad(409, "this id has been used"), close).await,
+            SubmitReply::Full => self.answer(503, Some(FULL_WAIT), "", close).await,
+            SubmitReply::FailFast(wait) => self.answer(503, wait, "", close).await,
+            SubmitReply::UnknownClassOrTenant => {
+                self.turn_away(Bad(400, "unknown class or tenant"), close).await
+            }
+            SubmitReply::UnknownDestination => self.turn_away(Bad(404, "no such destination"), close).await,
+            SubmitReply::DuplicateId => self.turn_away(Bad(409, "this id has been used"), close).await,
         }
     }
 
@@ -369,7 +371,7 @@
     /// refusal is true for both. Else it is owed as it was taken on.
     async fn take_back(&self, n: u64) -> bool {
         let (reply, back) = bounded(1);
-        let asked = self.shared.core.send(ToModule::TakeBack(n, reply)).await.is_ok();
+        let asked = self.shared.core.send(CoreMessage::WithdrawIfUntried(n, reply)).await.is_ok();
         let back = asked && back.recv().await.unwrap_or_default();
         if back {
             self.shared.counters.unheard.up();
@@ -398,7 +400,7 @@
         let bytes = format!("HTTP/1.1 {status} {reason}\r\n{wait}{end}Content-Length: {n}\r\n\r\n{text}");
         let clock = self.shared.clock;
         let written =
-            clock.before(clock.now().plus(ANSWER), write_whole(&mut self.stream, bytes.as_bytes())).await;
+            clock.timeout_at(clock.now().plus(ANSWER), write_whole(&mut self.stream, bytes.as_bytes())).await;
         written.unwrap_or(Err(std::io::ErrorKind::TimedOut.into()))
     }
 }
--- a/daemon/src/net/http/inbound/tests.rs
+++ b/daemon/src/net/http/inbound/tests.rs
@@ -78,10 +78,12 @@
         )
         .unwrap();
     let all = async {
-        let Ok(ToModule::HandIn(h)) = messages.recv().await else { panic!("no hand-in") };
+        let Ok(CoreMessage::Submit(h)) = messages.recv().await else { panic!("no hand-in") };
         client.shutdown(std::net::Shutdown::Write).unwrap();
-        h.reply.try_send(Reply::Taken(7)).unwrap();
-        let Ok(ToModule::TakeBack(7, reply)) = messages.recv().await else { panic!("no question") };
+        h.reply.try_send(SubmitReply::Accepted(7)).unwrap();
+        let Ok(CoreMessage::WithdrawIfUntried(7, reply)) = messages.recv().await else {
+            panic!("no question")
+        };
         reply.try_send(back).unwrap();
         let heard = answer(client).await;
         assert!(heard.starts_with(said), "{heard}");
--- a/daemon/src/net/mgmt.rs
+++ b/daemon/src/net/mgmt.rs
@@ -2,8 +2,8 @@
 //! own, few of them, and waits for nobody else's queue.
 
 use super::{ListState, SharedState};
-use crate::maintenance::Change;
-use crate::module::{MaintenanceAnswer, ToModule};
+use crate::maintenance::MaintenanceChange;
+use crate::module::{CoreMessage, MaintenanceReply};
 use async_channel::bounded;
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -36,7 +36,7 @@
                     let clock = shared.clock;
                     let by = clock.now().plus(WHOLE);
                     // Who goes before the answer has none.
-                    let _ = clock.before(by, call(&shared, stream)).await;
+                    let _ = clock.timeout_at(by, call(&shared, stream)).await;
                 }));
             }
             Err(e) => {
@@ -94,7 +94,8 @@
             }
         },
         [what @ ("maint-on" | "maint-off"), endpoint] => {
-            let change = Change { endpoint: endpoint.to_owned(), out: what == "maint-on" };
+            let change =
+                MaintenanceChange { endpoint: endpoint.to_owned(), in_maintenance: what == "maint-on" };
             maintenance(shared, change).await
         }
         ["maint-on" | "maint-off", ..] => "400 one endpoint a call".into(),
@@ -104,23 +105,23 @@
 }
 
 /// Takes an endpoint out, or puts it back.
-async fn maintenance(shared: &SharedState, change: Change) -> String {
-    let Change { endpoint, out } = change.clone();
+async fn maintenance(shared: &SharedState, change: MaintenanceChange) -> String {
+    let MaintenanceChange { endpoint, in_maintenance: out } = change.clone();
     let shown = endpoint.escape_debug();
     let done = format!("200 {shown} is {}", if out { "out" } else { "back" });
     let (reply, answered) = bounded(1);
     let asked = async {
-        shared.core.send(ToModule::Maintenance { change, reply }).await.ok()?;
+        shared.core.send(CoreMessage::ChangeMaintenance { change, reply }).await.ok()?;
         answered.recv().await.ok()
     };
     let by = shared.clock.now().plus(MODULE_ANSWERS_WITHIN);
-    match shared.clock.before(by, asked).await.flatten() {
-        Some(MaintenanceAnswer::Done) => done,
-        Some(MaintenanceAnswer::NotKept(why)) => {
+    match shared.clock.timeout_at(by, asked).await.flatten() {
+        Some(MaintenanceReply::Done) => done,
+        Some(MaintenanceReply::NotPersisted(why)) => {
             format!("{done}, and not yet kept for the next process: {why}")
         }
-        Some(MaintenanceAnswer::Unknown) => format!("400 no such endpoint: {shown}"),
-        Some(MaintenanceAnswer::TooMany) => "400 too many endpoints are out".into(),
+        Some(MaintenanceReply::Unknown) => format!("400 no such endpoint: {shown}"),
+        Some(MaintenanceReply::TooMany) => "400 too many endpoints are out".into(),
         None => "400 no answer in time: call again".into(),
     }
 }
--- a/daemon/src/net/mod.rs
+++ b/daemon/src/net/mod.rs
@@ -9,7 +9,7 @@
 use crate::clock::Clock;
 use crate::counters::Counters;
 use crate::invariants::Invariants;
-use crate::module::{Asks, Gate, Permit, ToModule};
+use crate::module::{CoreMessage, Permit, PermitRequest, PermitResult};
 use async_channel::{Receiver, Sender, bounded};
 use async_executor::LocalExecutor;
 use onyxrock::core::AttemptOutcome;
@@ -25,7 +25,7 @@
     pub counters: Counters,
     /// The rules, checked at run time.
     pub invariants: Invariants,
-    pub core: Sender<ToModule>,
+    pub core: Sender<CoreMessage>,
     /// Closed when the process begins to end: whoever waits on it wakes.
     pub shutdown_started: Receiver<()>,
     /// Closed when all calls have ended, just before the process does.
@@ -68,7 +68,7 @@
 impl SharedState {
     /// What an actor shares that a test plays the module for.
     #[cfg(test)]
-    pub fn for_test(module: Sender<ToModule>) -> Rc<SharedState> {
+    pub fn for_test(module: Sender<CoreMessage>) -> Rc<SharedState> {
         let (_, closed) = bounded(1);
         Rc::new(SharedState {
             clock: Clock::default(),
@@ -94,24 +94,26 @@
         })
     }
     /// Asks the module whether a call may leave for this address, or go on where some of it has been written.
-    pub async fn request_permit(&self, call: &OutboundCall, at: SocketAddr, begun: bool) -> Gate {
+    pub async fn request_permit(&self, call: &OutboundCall, at: SocketAddr, begun: bool) -> PermitResult {
         let (reply, allowed) = bounded(1);
-        let asks = Asks { n: call.number, attempt: call.attempt, to: call.receiver, begun };
-        let asked = self.core.send(ToModule::Writing { asks, at, reply }).await.is_ok();
+        let asks =
+            PermitRequest { n: call.number, attempt: call.attempt, to: call.receiver, partly_written: begun };
+        let asked =
+            self.core.send(CoreMessage::RequestPermit { request: asks, address: at, reply }).await.is_ok();
         allowed.recv().await.ok().filter(|_| asked).unwrap_or(Err(Verdict::Moot))
     }
 
     /// The first byte of a call leaves right behind this.
     pub fn sends(&self, call: &OutboundCall, permit: &Permit) {
         self.counters.outbound_calls.up();
-        self.invariants.sends(self.clock.now(), call, permit);
+        self.invariants.check_send(self.clock.now(), call, permit);
     }
 
     /// All counters, with those that tell of this moment brought up to date.
     pub fn counters_json(&self) -> serde_json::Value {
         let age = self.clock.now().since(self.list_answered_at.get());
         self.counters.list_age_ms.set(age.0 as usize / 1000);
-        let mut all = self.counters.json();
+        let mut all = self.counters.to_json();
         for (name, count) in self.invariants.counts() {
             all[name] = count.into();
         }
--- a/daemon/src/net/smpp/gateway.rs
+++ b/daemon/src/net/smpp/gateway.rs
@@ -1,7 +1,7 @@
 //! One gateway: a session that is bound when it is needed, and the outbound calls over it.
 
 use super::{Note, PDU_MOST, PROMPT, Read, command, field, next, write};
-use crate::module::ToModule;
+use crate::module::CoreMessage;
 use crate::net::buffer::Buffer;
 use crate::net::{OutboundCall, SharedState, ToEndpoint};
 use async_channel::{Receiver, Sender, bounded};
@@ -35,7 +35,7 @@
         let by = call.until().min(shared.clock.now().plus(shared.connect_timeout));
         shared.counters.outbound_open.up();
         shared.counters.outbound_opened.up();
-        match shared.clock.before(by, bind(&shared, &gateway)).await {
+        match shared.clock.timeout_at(by, bind(&shared, &gateway)).await {
             Some(Some(link)) => {
                 let to = call.receiver;
                 let waiting = VecDeque::from([*call]);
@@ -62,13 +62,13 @@
                 }
             }
         }
-        shared.counters.outbound_open.down();
+        shared.counters.outbound_open.decrement();
     }
 }
 
 async fn end(shared: &SharedState, call: &OutboundCall, verdict: Verdict) {
     let answered = call.outcome(shared.clock.now(), verdict);
-    let _ = shared.core.send(ToModule::Answered(answered)).await;
+    let _ = shared.core.send(CoreMessage::AttemptEnded(answered)).await;
 }
 
 struct Link {
@@ -151,7 +151,7 @@
                 let message = async { Event::Message(inbox.recv().await.ok()) };
                 let pdu = async { Event::Pdu(next(&mut self.link.buffer, &mut self.link.stream).await) };
                 let time = async {
-                    clock.until(Some(due)).await;
+                    clock.sleep_until(Some(due)).await;
                     Event::Time
                 };
                 let closing = async {
@@ -204,7 +204,7 @@
     async fn say(&mut self, status: CommandStatus, sequence: u32, pdu: impl Into<Pdu>) -> bool {
         let bytes = command(status, sequence, pdu);
         let by = self.shared.clock.now().plus(PROMPT);
-        matches!(self.shared.clock.before(by, write(&mut self.link.stream, &bytes)).await, Some(Ok(())))
+        matches!(self.shared.clock.timeout_at(by, write(&mut self.link.stream, &bytes)).await, Some(Ok(())))
     }
 
     /// Calls whose time is up, and a gateway that may have gone.
@@ -252,7 +252,7 @@
             let sequence = self.link.next_sequence();
             let bytes = command(CommandStatus::EsmeRok, sequence, submission(&call));
             let write = write(&mut self.link.stream, &bytes);
-            if !matches!(self.shared.clock.before(call.until(), write).await, Some(Ok(()))) {
+            if !matches!(self.shared.clock.timeout_at(call.until(), write).await, Some(Ok(()))) {
                 // Its last byte was not written; half a PDU makes the session useless for the others.
                 end(self.shared, &call, Verdict::ConnectFailed).await;
                 return false;
@@ -272,7 +272,7 @@
                     end(self.shared, &call, verdict).await;
                 } else if let Verdict::Full(Some(wait)) = verdict {
                     let until = self.shared.clock.now().plus(wait);
-                    let _ = self.shared.core.send(ToModule::Wait { to: self.to, until }).await;
+                    let _ = self.shared.core.send(CoreMessage::RetryAfter { receiver: self.to, until }).await;
                 }
                 true
             }
--- a/daemon/src/net/smpp/inbound.rs
+++ b/daemon/src/net/smpp/inbound.rs
@@ -2,7 +2,7 @@
 
 use super::receipts::{ToReceipts, receipt};
 use super::{FRONTEND_ID, Note, PDU_MOST, PROMPT, Read, command, field, next, text, time, write};
-use crate::module::{Ending, HandIn, Reply, ToModule};
+use crate::module::{CoreMessage, StatusNotice, Submission, SubmitReply};
 use crate::net::SharedState;
 use crate::net::buffer::Buffer;
 use async_channel::{Receiver, Sender, bounded};
@@ -55,7 +55,7 @@
                 let actor = async move {
                     Session::new(&front, session, stream).run().await;
                     let _ = front.receipts.send(ToReceipts::Down(session)).await;
-                    front.shared.counters.inbound_open.down();
+                    front.shared.counters.inbound_open.decrement();
                 };
                 executor.spawn(actor).detach();
             }
@@ -82,7 +82,7 @@
 
 enum Event {
     Pdu(Option<Read>),
-    Receipt(Ending),
+    Receipt(StatusNotice),
     Silence,
     Closing,
 }
@@ -117,7 +117,7 @@
                     }
                 };
                 let quiet = async {
-                    clock.until(Some(silence)).await;
+                    clock.sleep_until(Some(silence)).await;
                     Event::Silence
                 };
                 let closing = async {
@@ -143,7 +143,7 @@
                 }
                 Event::Receipt(e) => {
                     let sequence = self.next_sequence();
-                    self.out.insert(sequence, e.n);
+                    self.out.insert(sequence, e.number);
                     self.say(CommandStatus::EsmeRok, sequence, receipt(&e, clock.now())).await
                 }
                 Event::Silence if self.bound.is_some() && self.asked.is_empty() => {
@@ -174,10 +174,10 @@
         let bytes = command(status, sequence, pdu);
         let clock = self.front.shared.clock;
         let by = clock.now().plus(PROMPT);
-        matches!(clock.before(by, write(&mut self.stream, &bytes)).await, Some(Ok(())))
+        matches!(clock.timeout_at(by, write(&mut self.stream, &bytes)).await, Some(Ok(())))
     }
 
-    async fn take(&mut self, c: Command, mailbox: &Sender<Ending>) -> bool {
+    async fn take(&mut self, c: Command, mailbox: &Sender<StatusNotice>) -> bool {
         let (sequence, ok) = (c.sequence_number(), CommandStatus::EsmeRok);
         let unbound = CommandStatus::EsmeRinvbndsts;
         match c.pdu() {
@@ -232,7 +232,7 @@
     }
 
     async fn bind(
-        &mut self, system_id: &str, submits: bool, receives: Option<&Sender<Ending>>,
+        &mut self, system_id: &str, submits: bool, receives: Option<&Sender<StatusNotice>>,
     ) -> CommandStatus {
         if self.bound.is_some() {
             return CommandStatus::EsmeRalybnd;
@@ -264,29 +264,33 @@
         let id = taken.request_id.clone();
         let (reply, answer) = bounded(1);
         let module = &self.front.shared.core;
-        let handed = module.send(ToModule::HandIn(HandIn { taken, reply })).await;
+        let handed = module.send(CoreMessage::Submit(Submission { message: taken, reply })).await;
         let reply = if handed.is_ok() { answer.recv().await.ok() } else { None };
-        match reply.unwrap_or(Reply::FailFast(None)) {
-            Reply::Taken(n) => {
+        match reply.unwrap_or(SubmitReply::FailFast(None)) {
+            SubmitReply::Accepted(n) => {
                 let resp = SubmitSmResp::new(field(&id), Vec::new());
                 let heard = self.say(CommandStatus::EsmeRok, sequence, resp).await;
                 if !heard {
                     self.front.shared.counters.unheard.up();
-                    let _ = self.front.shared.core.send(ToModule::Unheard(n)).await;
+                    let _ = self.front.shared.core.send(CoreMessage::ReplyNotDelivered(n)).await;
                 }
                 heard
             }
-            Reply::Full => self.say(CommandStatus::EsmeRmsgqful, sequence, SubmitSmResp::default()).await,
-            Reply::FailFast(_) => {
+            SubmitReply::Full => {
+                self.say(CommandStatus::EsmeRmsgqful, sequence, SubmitSmResp::default()).await
+            }
+            SubmitReply::FailFast(_) => {
                 self.say(CommandStatus::EsmeRthrottled, sequence, SubmitSmResp::default()).await
             }
-            Reply::Unknown => {
+            SubmitReply::UnknownClassOrTenant => {
                 self.say(CommandStatus::EsmeRinvsertyp, sequence, SubmitSmResp::default()).await
             }
-            Reply::Nowhere => {
+            SubmitReply::UnknownDestination => {
                 self.say(CommandStatus::EsmeRinvdstadr, sequence, SubmitSmResp::default()).await
             }
-            Reply::Again => self.say(CommandStatus::EsmeRsubmitfail, sequence, SubmitSmResp::default()).await,
+            SubmitReply::DuplicateId => {
+                self.say(CommandStatus::EsmeRsubmitfail, sequence, SubmitSmResp::default()).await
+            }
         }
     }
 
--- a/daemon/src/net/smpp/receipts.rs
+++ b/daemon/src/net/smpp/receipts.rs
@@ -1,7 +1,7 @@
 //! The ends of what came over SMPP: one delivery receipt each, repeated only until its session acknowledges it.
 
 use super::{Note, field, time};
-use crate::module::{Ending, ToModule};
+use crate::module::{CoreMessage, StatusNotice};
 use crate::net::SharedState;
 use async_channel::{Receiver, Sender};
 use futures_lite::future;
@@ -25,7 +25,7 @@
     Up {
         session: u64,
         system_id: String,
-        mailbox: Sender<Ending>,
+        mailbox: Sender<StatusNotice>,
     },
     Down(u64),
     Acknowledged(u64),
@@ -33,25 +33,25 @@
 
 struct Session {
     system_id: String,
-    mailbox: Sender<Ending>,
+    mailbox: Sender<StatusNotice>,
 }
 
-pub async fn run(shared: Rc<SharedState>, endings: Receiver<Ending>, sessions: Receiver<ToReceipts>) {
+pub async fn run(shared: Rc<SharedState>, endings: Receiver<StatusNotice>, sessions: Receiver<ToReceipts>) {
     let mut bound: BTreeMap<u64, Session> = BTreeMap::new();
     // Each with the session that has it in hand.
-    let mut pending: BTreeMap<u64, (Ending, Option<u64>)> = BTreeMap::new();
+    let mut pending: BTreeMap<u64, (StatusNotice, Option<u64>)> = BTreeMap::new();
     loop {
         let ending = async { endings.recv().await.ok().map(|e| (Some(e), None)) };
         let session = async { sessions.recv().await.ok().map(|s| (None, Some(s))) };
         let now = shared.clock.now();
         let again = (!pending.is_empty()).then(|| now.plus(LOOK_AGAIN));
         let look = async {
-            shared.clock.until(again).await;
+            shared.clock.sleep_until(again).await;
             Some((None, None))
         };
         let Some((ending, session)) = future::or(future::or(ending, session), look).await else { return };
         if let Some(e) = ending {
-            pending.insert(e.n, (e, None));
+            pending.insert(e.number, (e, None));
         }
         match session {
             Some(ToReceipts::Up { session, system_id, mailbox }) => {
@@ -63,33 +63,33 @@
             }
             Some(ToReceipts::Acknowledged(n)) if pending.remove(&n).is_some() => {
                 shared.counters.smpp_receipts.up();
-                let _ = shared.core.send(ToModule::Told(n)).await;
+                let _ = shared.core.send(CoreMessage::NoticeDelivered(n)).await;
             }
             _ => {}
         }
         for (e, held) in pending.values_mut().filter(|p| p.1.is_none()) {
-            let system_id = Note::read(&e.note).system_id;
+            let system_id = Note::read(&e.frontend_note).system_id;
             let fits = bound.iter().filter(|(_, s)| s.system_id == system_id);
             *held = fits.into_iter().find(|(_, s)| s.mailbox.try_send(e.clone()).is_ok()).map(|(id, _)| *id);
         }
         let now = shared.clock.now();
         // Also where a session has it and never acknowledges it: nothing else would let go of it.
-        let stale = |p: &(Ending, Option<u64>)| now > p.0.deadline.plus(KEEP);
+        let stale = |p: &(StatusNotice, Option<u64>)| now > p.0.deadline.plus(KEEP);
         let gone: Vec<_> = pending.iter().filter(|(_, p)| stale(p)).map(|(n, _)| *n).collect();
         for n in gone {
             tracing::warn!(request = %pending[&n].0.id, "smpp: a receipt was not acknowledged and is given up");
             pending.remove(&n);
             shared.counters.smpp_receipts_lost.up();
-            let _ = shared.core.send(ToModule::Told(n)).await;
+            let _ = shared.core.send(CoreMessage::NoticeDelivered(n)).await;
         }
     }
 }
 
 /// The receipt as a PDU: from the message's destination to its source.
-pub fn receipt(e: &Ending, now: Micros) -> Pdu {
-    let note = Note::read(&e.note);
+pub fn receipt(e: &StatusNotice, now: Micros) -> Pdu {
+    let note = Note::read(&e.frontend_note);
     // REJECTD is the end that says: handing it in again is harmless; the text may say when.
-    let (stat, state, delivered, hint) = match e.end {
+    let (stat, state, delivered, hint) = match e.status {
         FinalStatus::Delivered => ("DELIVRD", MessageState::Delivered, 1, String::new()),
         FinalStatus::Failed => ("UNDELIV", MessageState::Undeliverable, 0, String::new()),
         FinalStatus::Returned(wait) => {
--- a/daemon/src/notices.rs
+++ b/daemon/src/notices.rs
@@ -1,7 +1,7 @@
 //! Ends that the platform is told of: sent again until it has heard.
 
 use crate::clock::Clock;
-use crate::module::{Ending, ToModule};
+use crate::module::{CoreMessage, StatusNotice};
 use crate::net::SharedState;
 use crate::net::http::MAX_HEAD_BYTES;
 use crate::net::http::client::Conn;
@@ -23,7 +23,7 @@
 const PAUSE_MOST: Duration = Duration::from_millis(200);
 
 /// Each move is word that they go elsewhere from now on, those too that are out and not acknowledged.
-pub async fn run(shared: Rc<SharedState>, endings: Receiver<Ending>, moves: Receiver<()>) {
+pub async fn run(shared: Rc<SharedState>, endings: Receiver<StatusNotice>, moves: Receiver<()>) {
     let mut line = Line { shared: &shared, conn: None, moves };
     while let Ok(first) = endings.recv().await {
         let mut batch = vec![first];
@@ -41,8 +41,8 @@
         for ending in batch {
             shared.counters.notices_sent.up();
             let now = shared.clock.now();
-            shared.invariants.ended(now, &ending.id, ending.deadline, shared.clock.up());
-            if shared.core.send(ToModule::Told(ending.n)).await.is_err() {
+            shared.invariants.ended(now, &ending.id, ending.deadline, shared.clock.uptime());
+            if shared.core.send(CoreMessage::NoticeDelivered(ending.number)).await.is_err() {
                 return;
             }
         }
@@ -58,7 +58,7 @@
 
 impl Line<'_> {
     /// Sends until there is an answer; its status.
-    async fn tell(&mut self, batch: &[Ending]) -> u16 {
+    async fn tell(&mut self, batch: &[StatusNotice]) -> u16 {
         let body: String = batch.iter().map(|e| line(e) + "\n").collect();
         let mut pause = PAUSE;
         loop {
@@ -67,7 +67,7 @@
             let bytes =
                 format!("POST /v1/outcomes HTTP/1.1\r\nHost: {to}\r\nContent-Length: {n}\r\n\r\n{body}");
             let by = clock.now().plus(PATIENCE);
-            let posted = clock.before(by, post(&clock, to, &mut self.conn, &bytes));
+            let posted = clock.timeout_at(by, post(&clock, to, &mut self.conn, &bytes));
             // Only what has gone wrong waits: who has moved hears of it at once.
             let moves = async {
                 moved(&self.moves).await;
@@ -116,8 +116,8 @@
     Ok(answer.status)
 }
 
-fn line(e: &Ending) -> String {
-    match e.end {
+fn line(e: &StatusNotice) -> String {
+    match e.status {
         FinalStatus::Returned(Some(wait)) => {
             json!({"id": e.id, "state": "returned", "after_ms": wait.0.div_ceil(1000)})
         }
--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -7,7 +7,7 @@
 use crate::keep;
 use crate::list::{self, DiscoveryParams, dns};
 use crate::maintenance;
-use crate::module::{Beside, FirstList, LiveSettings, Module, ToModule};
+use crate::module::{Beside, CoreActor, CoreMessage, FirstList, LiveSettings};
 use crate::net::SharedState;
 use crate::net::http::inbound;
 use crate::net::mgmt;
@@ -83,7 +83,7 @@
     if scan.damaged_bytes > 0 {
         tracing::warn!("log: {} bytes belong to no whole record and are left out", scan.damaged_bytes);
     }
-    let (to_module, module_inbox) = bounded::<ToModule>(4096);
+    let (to_module, module_inbox) = bounded::<CoreMessage>(4096);
     let (ending, ended) = bounded(1);
     let (closing, closed) = bounded(1);
     let idle = config.settings.connection_idle_timeout;
@@ -141,7 +141,8 @@
     let terms = resting.map(|i| Terms { half_life: i.half_life, forget: i.forget }).unwrap_or_default();
     let zones = config.names.zones.clone();
     let rules = Rules { most: bounds.entries.0 as usize, rest: resting.map(|i| i.rest), terms, zones };
-    let mut module = Module::new(shared.clone(), ledger, wal, follow, fronts, slots, Directory::new(rules));
+    let mut module =
+        CoreActor::new(shared.clone(), ledger, wal, follow, fronts, slots, Directory::new(rules));
     module.assumed = resting.map(|i| i.assumed_per_s);
     if kept > 0 {
         let now = shared.clock.now();
@@ -287,8 +288,8 @@
     drop((open, ending));
     Timer::at(told + SEND_FOR).await;
     let (quiet, is_quiet) = bounded(1);
-    let _ = to_module.send(ToModule::Hold).await;
-    let _ = to_module.send(ToModule::Quiet(quiet)).await;
+    let _ = to_module.send(CoreMessage::StopSending).await;
+    let _ = to_module.send(CoreMessage::NotifyWhenNoCalls(quiet)).await;
     let calls_end = async { is_quiet.recv().await.unwrap_or_default() };
     let in_time = async {
         Timer::at(told + END_BY).await;
@@ -311,7 +312,7 @@
     // Ends that came last are still on their way to the platform.
     Timer::after(Duration::from_millis(100)).await;
     let (look, looked) = bounded(1);
-    let _ = to_module.send(ToModule::LastLook(look)).await;
+    let _ = to_module.send(CoreMessage::FinalCheck(look)).await;
     let _ = looked.recv().await;
     tracing::info!("counters {}", shared.counters_json());
     Ok(())
@@ -386,7 +387,7 @@
     tracing::info!("reload: discovery is at {}", new.discovery);
     let Config { settings, names, .. } = new.clone();
     let live = Box::new(LiveSettings { settings, names });
-    let _ = shared.core.send(ToModule::Settings(live)).await;
+    let _ = shared.core.send(CoreMessage::NewSettings(live)).await;
     // What waits for the next start is compared with what this one had.
     let Config { discovery, file, .. } = new;
     (held.discovery, held.file) = (discovery, file);
--- a/daemon/src/show.rs
+++ b/daemon/src/show.rs
@@ -25,7 +25,7 @@
         }
         Ok::<_, std::io::Error>((answer.status, text))
     };
-    match async_io::block_on(clock.before(by, asked)) {
+    match async_io::block_on(clock.timeout_at(by, asked)) {
         Some(Ok((200, begin_body))) => {
             serde_json::from_slice(&begin_body).map_err(|e| format!("{at}: {path} is not JSON: {e}"))
         }
