--- a/daemon/src/module/messages.rs
+++ b/daemon/src/core_actor/messages.rs
@@ -1,10 +1,10 @@
 //! What the module is told and asked, and what it answers.
 
 use super::{MaintenanceReply, PermitRequest, PermitResult};
-use crate::folder::Left;
 use crate::list::ListPart;
 use crate::maintenance::MaintenanceChange;
 use crate::shared_waits::Shared;
+use crate::state_folder::Left;
 use async_channel::Sender;
 use onyxrock::core::{AcceptedMessage, AttemptOutcome, FinalStatus, NameIndex};
 use onyxrock::interface::{Micros, ReceiverId, Settings};
--- a/daemon/src/module/tests.rs
+++ b/daemon/src/core_actor/tests.rs
@@ -218,7 +218,7 @@
 fn what_was_taken_over_and_has_ended_is_not_taken_over_again() {
     let folder = std::env::temp_dir().join(format!("onyxrock-module-again-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let claim = crate::folder::Claim::take(&folder).unwrap();
+    let claim = crate::state_folder::Claim::take(&folder).unwrap();
     let mut m = module(&folder);
     let now = m.shared.clock.now();
     let deadline = now.plus(Micros(5_000_000));
@@ -234,7 +234,7 @@
     })
     .write(&mut log);
     std::fs::write(&claim.beside()[0], &log).unwrap();
-    let Ok(crate::folder::Other::Free(left)) = claim.other() else { panic!("nobody is there") };
+    let Ok(crate::state_folder::Other::Free(left)) = claim.other() else { panic!("nobody is there") };
     m.copy(&left).unwrap();
     let n = m.ledger.open_messages().next().expect("it is taken over").accepted.number;
     m.take(CoreMessage::NoticeDelivered(n));
@@ -255,7 +255,7 @@
 fn what_another_process_owed_is_taken_over_once() {
     let folder = std::env::temp_dir().join(format!("onyxrock-module-adopt-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let claim = crate::folder::Claim::take(&folder).unwrap();
+    let claim = crate::state_folder::Claim::take(&folder).unwrap();
     let mut m = module(&folder);
     let now = m.shared.clock.now();
     m.list(now, list(EntryState::Ready));
@@ -276,7 +276,7 @@
     m.ledger.accept(now, AcceptedMessage { number: 1, request_id: "ours".into(), ..taken(1) });
     for _ in 0..2 {
         std::fs::write(&claim.beside()[0], &log).unwrap();
-        let Ok(crate::folder::Other::Free(left)) = claim.other() else { panic!("nobody is there") };
+        let Ok(crate::state_folder::Other::Free(left)) = claim.other() else { panic!("nobody is there") };
         m.adopt(&left);
         assert!(!left.is_there());
     }
@@ -315,7 +315,7 @@
 #[test]
 fn what_could_not_be_written_is_written_later_and_in_order() {
     let (folder, mut m, now) = busy("unwritten");
-    let log = folder.join(crate::folder::PLACES[0].log);
+    let log = folder.join(crate::state_folder::PLACES[0].log);
     m.ledger.decide(now, true, &mut Vec::new());
     assert!(m.writing(now, asks(0, false)).is_ok());
     let logged = || recover(Wal::open(&folder, 1_000_000).unwrap().1.records);
--- a/daemon/src/invariants.rs
+++ b/daemon/src/invariants.rs
@@ -2,8 +2,8 @@
 //! (`module/guard.rs`) lets pass is looked at again, by what was told to this process, and each violation is counted and
 //! logged with its ids. All counts are 0 in a sound process.
 
+use crate::core_actor::Permit;
 use crate::counters::Counter;
-use crate::module::Permit;
 use crate::net::OutboundCall;
 use onyxrock::interface::{EntryState, ListEntry, Micros, ReceiverId};
 use std::cell::RefCell;
--- a/daemon/src/list/dns.rs
+++ b/daemon/src/list/dns.rs
@@ -1,7 +1,7 @@
 //! The list out of a zone file, kept up by dynamic updates that come to a socket of ours.
 
 use super::zone::Zone;
-use crate::module::CoreMessage;
+use crate::core_actor::CoreMessage;
 use crate::net::SharedState;
 use async_channel::Receiver;
 use async_io::Async;
--- a/daemon/src/list/follow.rs
+++ b/daemon/src/list/follow.rs
@@ -2,7 +2,7 @@
 
 use super::fetch::{Call, Failed, Fetched};
 use super::{DiscoveryParams, GRACE, ListPart, PAUSE};
-use crate::module::CoreMessage;
+use crate::core_actor::CoreMessage;
 use crate::net::SharedState;
 use crate::net::http::client::Conn;
 use async_channel::{Receiver, bounded};
--- a/daemon/src/list/tests.rs
+++ b/daemon/src/list/tests.rs
@@ -1,7 +1,7 @@
 //! The list is followed, shown with a discovery service and a module that the test plays.
 
 use super::*;
-use crate::module::CoreMessage;
+use crate::core_actor::CoreMessage;
 use crate::net::SharedState;
 use async_channel::{Receiver, bounded};
 use async_io::Timer;
--- a/daemon/src/maintenance.rs
+++ b/daemon/src/maintenance.rs
@@ -4,9 +4,9 @@
 //! The file has a name a line. It is replaced as a whole, under a lock that dies with its process, so that two processes which
 //! are called at one moment lose neither change.
 
-use crate::folder::{read, remove};
-use crate::module::CoreMessage;
+use crate::core_actor::CoreMessage;
 use crate::net::SharedState;
+use crate::state_folder::{read, remove};
 use async_io::Timer;
 use std::collections::{BTreeSet, VecDeque};
 use std::fs::{File, OpenOptions, rename, write};
--- a/daemon/src/net/http/endpoint.rs
+++ b/daemon/src/net/http/endpoint.rs
@@ -4,7 +4,7 @@
 use super::client::{Again, Answer, Conn, Lost, TAIL, is_local};
 use super::reuse::AT_ONCE;
 use crate::clock::Clock;
-use crate::module::CoreMessage;
+use crate::core_actor::CoreMessage;
 use crate::net::{OutboundCall, SharedState, ToEndpoint};
 use async_channel::{Receiver, Sender, bounded};
 use futures_lite::future;
--- a/daemon/src/net/http/endpoint/tests.rs
+++ b/daemon/src/net/http/endpoint/tests.rs
@@ -1,7 +1,7 @@
 //! Calls over kept and new connections, with a peer and a module that the test plays.
 
 use super::*;
-use crate::module::Permit;
+use crate::core_actor::Permit;
 use onyxrock::interface::ReceiverId;
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -49,7 +49,7 @@
         async_io::block_on(self.shared.executor.run(self.module.recv())).unwrap()
     }
     /// The actor asks whether its call may go.
-    fn gate(&self, says: crate::module::PermitResult) -> bool {
+    fn gate(&self, says: crate::core_actor::PermitResult) -> bool {
         let CoreMessage::RequestPermit { request: asks, reply, .. } = self.message() else {
             panic!("no question")
         };
--- a/daemon/src/net/http/inbound.rs
+++ b/daemon/src/net/http/inbound.rs
@@ -1,8 +1,8 @@
 //! The clients' side: one actor a connection.
 
 use super::{BODY_MOST, Framing, HEADERS, MAX_HEAD_BYTES, client_seconds, framing};
+use crate::core_actor::{CoreMessage, Submission, SubmitReply};
 use crate::invariants::PendingResponse;
-use crate::module::{CoreMessage, Submission, SubmitReply};
 use crate::net::buffer::{Buffer, write_whole};
 use crate::net::smpp::Note;
 use crate::net::{ListState, SharedState};
--- a/daemon/src/net/mgmt.rs
+++ b/daemon/src/net/mgmt.rs
@@ -2,8 +2,8 @@
 //! own, few of them, and waits for nobody else's queue.
 
 use super::{ListState, SharedState};
+use crate::core_actor::{CoreMessage, MaintenanceReply};
 use crate::maintenance::MaintenanceChange;
-use crate::module::{CoreMessage, MaintenanceReply};
 use async_channel::bounded;
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
--- a/daemon/src/net/mod.rs
+++ b/daemon/src/net/mod.rs
@@ -7,9 +7,9 @@
 pub mod smpp;
 
 use crate::clock::Clock;
+use crate::core_actor::{CoreMessage, Permit, PermitRequest, PermitResult};
 use crate::counters::Counters;
 use crate::invariants::Invariants;
-use crate::module::{CoreMessage, Permit, PermitRequest, PermitResult};
 use async_channel::{Receiver, Sender, bounded};
 use async_executor::LocalExecutor;
 use onyxrock::core::AttemptOutcome;
--- a/daemon/src/net/smpp/gateway.rs
+++ b/daemon/src/net/smpp/gateway.rs
@@ -1,7 +1,7 @@
 //! One gateway: a session that is bound when it is needed, and the outbound calls over it.
 
 use super::{Note, PDU_MOST, PROMPT, Read, command, field, next, write};
-use crate::module::CoreMessage;
+use crate::core_actor::CoreMessage;
 use crate::net::buffer::Buffer;
 use crate::net::{OutboundCall, SharedState, ToEndpoint};
 use async_channel::{Receiver, Sender, bounded};
--- a/daemon/src/net/smpp/inbound.rs
+++ b/daemon/src/net/smpp/inbound.rs
@@ -2,7 +2,7 @@
 
 use super::receipts::{ToReceipts, receipt};
 use super::{FRONTEND_ID, Note, PDU_MOST, PROMPT, Read, command, field, next, text, time, write};
-use crate::module::{CoreMessage, StatusNotice, Submission, SubmitReply};
+use crate::core_actor::{CoreMessage, StatusNotice, Submission, SubmitReply};
 use crate::net::SharedState;
 use crate::net::buffer::Buffer;
 use async_channel::{Receiver, Sender, bounded};
--- a/daemon/src/net/smpp/receipts.rs
+++ b/daemon/src/net/smpp/receipts.rs
@@ -1,7 +1,7 @@
 //! The ends of what came over SMPP: one delivery receipt each, repeated only until its session acknowledges it.
 
 use super::{Note, field, time};
-use crate::module::{CoreMessage, StatusNotice};
+use crate::core_actor::{CoreMessage, StatusNotice};
 use crate::net::SharedState;
 use async_channel::{Receiver, Sender};
 use futures_lite::future;
--- a/daemon/src/notices.rs
+++ b/daemon/src/notices.rs
@@ -1,7 +1,7 @@
 //! Ends that the platform is told of: sent again until it has heard.
 
 use crate::clock::Clock;
-use crate::module::{CoreMessage, StatusNotice};
+use crate::core_actor::{CoreMessage, StatusNotice};
 use crate::net::SharedState;
 use crate::net::http::MAX_HEAD_BYTES;
 use crate::net::http::client::Conn;
--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -1,19 +1,19 @@
 //! Puts a forwarder together, runs it, and ends it in order.
 
-use crate::beside;
 use crate::clock::Clock;
+use crate::core_actor::{Beside, CoreActor, CoreMessage, FirstList, LiveSettings};
 use crate::counters::Counters;
-use crate::folder::Other;
-use crate::keep;
 use crate::list::{self, DiscoveryParams, dns};
 use crate::maintenance;
-use crate::module::{Beside, CoreActor, CoreMessage, FirstList, LiveSettings};
 use crate::net::SharedState;
 use crate::net::http::inbound;
 use crate::net::mgmt;
 use crate::net::smpp;
 use crate::notices;
-use crate::start::{Opened, open_folder};
+use crate::sibling;
+use crate::startup::{Opened, open_folder};
+use crate::state_files;
+use crate::state_folder::Other;
 use async_channel::bounded;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -69,7 +69,7 @@
     // The kept zone, old and new, shares the folder with the log.
     let kept_zone = dns.as_ref().map_or(0, |d| dns::max_kept_zone_bytes(&d.zone, config.disk_bytes));
     let zones = 2 * kept_zone;
-    let zones = zones + if duties.is_some() { keep::EPOCH_BYTES } else { 0 };
+    let zones = zones + if duties.is_some() { state_files::EPOCH_BYTES } else { 0 };
     let kept = resting.map_or(0, |i| i.keep);
     if 2 * kept + zones > config.disk_bytes / 2 {
         return Err(format!(
@@ -146,12 +146,14 @@
     module.assumed = resting.map(|i| i.assumed_per_s);
     if kept > 0 {
         let now = shared.clock.now();
-        for (whose, memory) in keep::load(&config.state, kept as usize) {
+        for (whose, memory) in state_files::load(&config.state, kept as usize) {
             module.directory.memories_mut().restore(now, whose, memory);
         }
         let (to_keep, keeping) = bounded(1);
         module.keep = Some(to_keep);
-        executor.spawn(keep::run(shared.clone(), config.state.clone(), kept as usize, keeping)).detach();
+        executor
+            .spawn(state_files::run(shared.clone(), config.state.clone(), kept as usize, keeping))
+            .detach();
     }
     gateways.into_iter().for_each(|g| module.gateway(g));
     module.begin_maintenance(&taken_out);
@@ -170,10 +172,10 @@
         let boot = membership.boot();
         let folder = config.state.clone();
         let keep = Box::new(move |bound| {
-            let kept = keep::keep_epoch(&folder, bound);
+            let kept = state_files::keep_epoch(&folder, bound);
             kept.inspect_err(|e| tracing::error!("duties: an epoch could not be kept: {e}")).is_ok()
         });
-        let memory = keep::epoch(&config.state);
+        let memory = state_files::epoch(&config.state);
         let out = to_peers.clone();
         module.probing = Some(Probing::new(d, me, boot, now, class, out, to_list, memory, keep));
         let at = socket.get_ref().local_addr().map_err(|e| e.to_string())?;
@@ -248,7 +250,7 @@
 
     let claim_folder = claim.folder.clone();
     let upgrades = config.mgmt.is_some();
-    executor.spawn(beside::follow(shared.clone(), claim, other_is_there, upgrades)).detach();
+    executor.spawn(sibling::follow(shared.clone(), claim, other_is_there, upgrades)).detach();
     let listener = door(config.listen, other_is_there)
         .and_then(Async::new)
         .map_err(|e| format!("cannot listen on {}: {e}", config.listen))?;
--- a/daemon/src/shared_waits.rs
+++ b/daemon/src/shared_waits.rs
@@ -5,7 +5,7 @@
 //! before, and reads the other's. Times are those of the boot-time clock, which both read alike whatever the wall clock does.
 
 use crate::clock::Clock;
-use crate::folder::remove;
+use crate::state_folder::remove;
 use onyxrock::interface::Micros;
 use std::fs::File;
 use std::io::{self, ErrorKind, Read, Seek, SeekFrom, Write};
--- a/daemon/src/beside.rs
+++ b/daemon/src/sibling.rs
@@ -1,10 +1,10 @@
 //! Looks whether another process of this forwarder is beside this one: what it tells of waits, and what it owes once it is
 //! gone.
 
-use crate::folder::{Claim, Left, Other, remove};
-use crate::module::CoreMessage;
+use crate::core_actor::CoreMessage;
 use crate::net::SharedState;
 use crate::shared_waits::WaitReader;
+use crate::state_folder::{Claim, Left, Other, remove};
 use async_io::Timer;
 use std::rc::Rc;
 use std::time::Duration;
--- a/daemon/src/start.rs
+++ b/daemon/src/startup.rs
@@ -1,7 +1,7 @@
 //! The folder that lasts, at a start.
 
-use crate::folder::{Claim, NoPlace, remove};
 use crate::maintenance::MaintenanceFile;
+use crate::state_folder::{Claim, NoPlace, remove};
 use crate::wal::Wal;
 use async_io::Timer;
 use onyxrock::core::LogScan;
--- a/daemon/src/start/tests.rs
+++ b/daemon/src/startup/tests.rs
@@ -25,7 +25,7 @@
 fn a_start_removes_the_waits_of_the_process_before_it() {
     let folder = std::env::temp_dir().join(format!("onyxrock-start-waits-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let waits = folder.join(crate::folder::PLACES[0].waits);
+    let waits = folder.join(crate::state_folder::PLACES[0].waits);
     std::fs::write(&waits, ".\n").unwrap();
     std::fs::write(folder.join("onyxrock.maintenance"), "s-1\n").unwrap();
     let opened = block_on(open_folder(&folder, 1_000_000)).unwrap();
--- a/daemon/src/wal.rs
+++ b/daemon/src/wal.rs
@@ -1,7 +1,7 @@
 //! The log in the folder that lasts. What write() has taken survives the process, so nothing is synced.
 
-use crate::folder::{Claim, PLACES, Place, read, remove};
 use crate::maintenance;
+use crate::state_folder::{Claim, PLACES, Place, read, remove};
 use onyxrock::core::{LogScan, OpenMessage, Record, scan_log};
 use std::fs::{File, OpenOptions, rename};
 use std::io::{self, ErrorKind, Write};
