--- a/daemon/src/core_actor/calls.rs
+++ b/daemon/src/core_actor/calls.rs
@@ -7,7 +7,7 @@
         let Some(o) = self.ledger.get(n) else { return };
         let t = &o.accepted;
         if o.attempts > 0 {
-            self.shared.counters.retried.up();
+            self.shared.counters.retried.increment();
         }
         tracing::debug!(id = t.request_id, attempt, to = to.0, earlier = o.attempts, "attempt decided");
         let called_off = self.ledger.can_cancel_attempts().then(|| {
@@ -71,8 +71,8 @@
     pub(super) fn tell(&mut self, n: u64, end: FinalStatus) {
         let Some(o) = self.ledger.get(n) else { return };
         match end {
-            FinalStatus::Failed => self.shared.counters.failed.up(),
-            FinalStatus::Returned(_) => self.shared.counters.returned.up(),
+            FinalStatus::Failed => self.shared.counters.failed.increment(),
+            FinalStatus::Returned(_) => self.shared.counters.returned.increment(),
             FinalStatus::Delivered => {}
         }
         let t = &o.accepted;
@@ -111,7 +111,7 @@
         self.out.remove(&(a.number, a.attempt));
         let c = &self.shared.counters;
         if a.verdict == Verdict::Stale {
-            c.stale.up();
+            c.stale.increment();
         }
         match a.verdict {
             Verdict::Delivered => &c.delivered,
@@ -124,9 +124,9 @@
             Verdict::Moot => &c.moot,
             Verdict::HeldBack => &c.held_back,
         }
-        .up();
+        .increment();
         if a.wait_until > Micros(0) {
-            c.waits_told.up();
+            c.waits_told.increment();
         }
         if let Some(o) = self.ledger.get(a.number) {
             let (id, attempt, elapsed_ms) = (&o.accepted.request_id, a.attempt, a.elapsed.0 / 1000);
--- a/daemon/src/core_actor/endpoint_list.rs
+++ b/daemon/src/core_actor/endpoint_list.rs
@@ -32,7 +32,7 @@
     pub(super) fn used(&mut self, now: Micros, destination: u64) {
         let mut follows = Follows::default();
         let Some(woken) = self.directory.touch(now, destination, &mut follows) else { return };
-        self.shared.counters.wakes.up();
+        self.shared.counters.wakes.increment();
         self.order(follows.orders);
         match self.assumed {
             Some(assumed) => self.ledger.activate(now, destination, woken.whole, woken.each, assumed),
@@ -91,7 +91,7 @@
 
     pub(super) fn put(&mut self, now: Micros, e: Endpoint<'_>, follows: &mut Follows) {
         if let Err(why) = self.directory.put(now, e.clone(), follows) {
-            self.shared.counters.list_refused.up();
+            self.shared.counters.list_refused.increment();
             let why = match why {
                 Refused::Full => "there is no place for it",
                 Refused::Shape => "its name or zone is out of bounds",
@@ -152,7 +152,7 @@
         self.directory.tidy(now, &mut follows);
         while let Some(destination) = self.directory.tired(now) {
             let Some((whole, each)) = self.ledger.deactivate(now, destination) else { continue };
-            self.shared.counters.rests.up();
+            self.shared.counters.rests.increment();
             self.directory.rested(now, destination, whole, &each, &mut follows);
         }
         self.order(follows.orders);
--- a/daemon/src/core_actor/guard.rs
+++ b/daemon/src/core_actor/guard.rs
@@ -25,9 +25,9 @@
 /// A call that asks.
 #[derive(Clone, Copy, Debug)]
 pub struct PermitRequest {
-    pub n: u64,
+    pub number: u64,
     pub attempt: u32,
-    pub to: ReceiverId,
+    pub receiver: ReceiverId,
     /// Some of it has been written; the rest waited.
     pub partly_written: bool,
 }
@@ -38,10 +38,10 @@
     pub(super) fn writing(&mut self, now: Micros, asks: PermitRequest) -> PermitResult {
         let counters = &self.shared.counters;
         let held_back = |why: &Counter| {
-            why.up();
+            why.increment();
             Err(Verdict::HeldBack)
         };
-        let Some(peer) = self.directory.peer(asks.to) else { return Err(Verdict::Moot) };
+        let Some(peer) = self.directory.peer(asks.receiver) else { return Err(Verdict::Moot) };
         if self.hold && !asks.partly_written {
             return held_back(&counters.held_back_ending);
         }
@@ -52,18 +52,18 @@
                 if in_maintenance { &counters.held_back_maintenance } else { &counters.held_back_drain };
             return held_back(why);
         }
-        match self.ledger.recheck_send(now, asks.n, asks.attempt, asks.to) {
+        match self.ledger.recheck_send(now, asks.number, asks.attempt, asks.receiver) {
             SendRecheck::WithinRetryAfter => return held_back(&counters.held_back_wait),
             SendRecheck::NoLongerAllowed => return held_back(&counters.held_back_late),
             SendRecheck::MessageEnded => return Err(Verdict::Moot),
             SendRecheck::Allowed => {}
         }
-        let valid_until = self.ledger.send_deadline(asks.n, asks.attempt).unwrap_or(Micros(u64::MAX));
+        let valid_until = self.ledger.send_deadline(asks.number, asks.attempt).unwrap_or(Micros(u64::MAX));
         if asks.partly_written {
             return Ok(Permit { epoch: 0, valid_until, repeat: false, logged: true });
         }
-        if self.ledger.probe_is_open(asks.n) {
-            return self.probe_may_go(now, asks.n, valid_until);
+        if self.ledger.probe_is_open(asks.number) {
+            return self.probe_may_go(now, asks.number, valid_until);
         }
         self.attempt_may_go(now, asks, valid_until)
     }
@@ -72,29 +72,33 @@
         let Some(probing) = &mut self.probing else { return Err(Verdict::Moot) };
         let may = probing.writing(now, n);
         let counters = &self.shared.counters;
-        if may.is_some() { &counters.probes } else { &counters.probes_refused }.up();
+        if may.is_some() { &counters.probes } else { &counters.probes_refused }.increment();
         let epoch = may.ok_or(Verdict::Moot)?;
         Ok(Permit { epoch, valid_until, repeat: false, logged: false })
     }
 
     /// An attempt that is not in the log could be made again after a restart.
     fn attempt_may_go(&mut self, now: Micros, asks: PermitRequest, valid_until: Micros) -> PermitResult {
-        let Some(peer) = self.directory.peer(asks.to) else { return Err(Verdict::Moot) };
+        let Some(peer) = self.directory.peer(asks.receiver) else { return Err(Verdict::Moot) };
         let repeat = self
             .ledger
-            .get(asks.n)
+            .get(asks.number)
             .is_some_and(|o| o.first_possible_run.is_some() || !o.in_flight.is_empty());
-        let record = match self.ledger.begin_attempt(asks.n, asks.attempt, &peer.name, &peer.zone, now) {
+        let record = match self.ledger.begin_attempt(asks.number, asks.attempt, &peer.name, &peer.zone, now) {
             Ok(record) => record,
             Err(AttemptDenied::NotOpen) => return Err(Verdict::Moot),
             Err(AttemptDenied::RepeatForbidden) => {
-                self.shared.counters.held_back_repeat.up();
-                tracing::error!(n = asks.n, attempt = asks.attempt, "a repeat that its class does not allow");
+                self.shared.counters.held_back_repeat.increment();
+                tracing::error!(
+                    n = asks.number,
+                    attempt = asks.attempt,
+                    "a repeat that its class does not allow"
+                );
                 return Err(Verdict::HeldBack);
             }
         };
         if !self.keep_now(std::slice::from_ref(&record)) {
-            self.ledger.undo_attempt(asks.n, asks.attempt);
+            self.ledger.undo_attempt(asks.number, asks.attempt);
             return Err(Verdict::Moot);
         }
         Ok(Permit { epoch: 0, valid_until, repeat, logged: true })
--- a/daemon/src/core_actor/maintenance.rs
+++ b/daemon/src/core_actor/maintenance.rs
@@ -18,7 +18,7 @@
     /// It holds here. The folder does not take it yet, as the reason says.
     NotPersisted(String),
     /// No endpoint has this name.
-    Unknown,
+    UnknownEndpoint,
     /// The file has no room for one more.
     TooMany,
 }
@@ -37,7 +37,7 @@
     /// A call of operators. It holds from here on, whatever the folder does.
     pub(super) fn maintenance_call(&mut self, now: Micros, change: MaintenanceChange) -> MaintenanceReply {
         if self.directory.known(&change.endpoint).is_err() {
-            return MaintenanceReply::Unknown;
+            return MaintenanceReply::UnknownEndpoint;
         }
         if change.in_maintenance && !MaintenanceFile::has_room(self.directory.maintenance(), &change.endpoint)
         {
--- a/daemon/src/core_actor/records.rs
+++ b/daemon/src/core_actor/records.rs
@@ -72,12 +72,12 @@
         let owed = || -> Box<dyn Iterator<Item = &OpenMessage>> { Box::new(ledger.open_messages()) };
         let kept = self.wal.append(records, owed);
         if self.wal.compactions != before {
-            self.shared.counters.wal_compactions.up();
+            self.shared.counters.wal_compactions.increment();
         }
         match kept {
-            Ok(()) => self.shared.counters.wal_records.up(),
+            Ok(()) => self.shared.counters.wal_records.increment(),
             Err(e) => {
-                self.shared.counters.wal_refused.up();
+                self.shared.counters.wal_refused.increment();
                 tracing::error!("log: {e}");
                 return false;
             }
--- a/daemon/src/core_actor/sibling.rs
+++ b/daemon/src/core_actor/sibling.rs
@@ -115,7 +115,7 @@
             self.used(now, destination);
         }
         let Some(to) = self.directory.number_of(&wait.endpoint) else { return };
-        self.shared.counters.waits_told_beside.up();
+        self.shared.counters.waits_told_beside.increment();
         self.ledger.on_retry_after(now, to, wait.until);
         self.directory.told(to, wait.until);
         self.shared.invariants.told_wait(now, to, wait.until);
--- a/daemon/src/core_actor/takeover.rs
+++ b/daemon/src/core_actor/takeover.rs
@@ -14,7 +14,7 @@
     /// Takes over what an earlier process owed.
     pub fn resume(&mut self, owed: impl IntoIterator<Item = OpenMessage>) {
         for o in owed {
-            self.shared.counters.resumed.up();
+            self.shared.counters.resumed.increment();
             let now = self.shared.clock.now();
             let (n, given) = (o.accepted.number, o.final_status);
             self.used(now, o.accepted.destination);
--- a/daemon/src/core_actor/tests.rs
+++ b/daemon/src/core_actor/tests.rs
@@ -29,7 +29,7 @@
 
 /// An attempt of message 1 at the one endpoint.
 fn asks(attempt: u32, begun: bool) -> PermitRequest {
-    PermitRequest { n: 1, attempt, to: ReceiverId(1), partly_written: begun }
+    PermitRequest { number: 1, attempt, receiver: ReceiverId(1), partly_written: begun }
 }
 
 /// One that has a list and has taken on message 1, in a folder of its own.
@@ -374,7 +374,7 @@
         endpoint: endpoint.into(),
         in_maintenance: out,
     };
-    assert_eq!(m.maintenance_call(now, change("nobody", true)), MaintenanceReply::Unknown);
+    assert_eq!(m.maintenance_call(now, change("nobody", true)), MaintenanceReply::UnknownEndpoint);
     assert_eq!(m.maintenance_call(now, change("e", true)), MaintenanceReply::Done);
     assert_eq!(m.writing(now, asks(0, false)), Err(Verdict::HeldBack));
     assert_eq!(m.shared.counters.held_back_maintenance.get(), 1);
--- a/daemon/src/counters.rs
+++ b/daemon/src/counters.rs
@@ -7,7 +7,7 @@
 pub struct Counter(Cell<u64>);
 
 impl Counter {
-    pub fn up(&self) {
+    pub fn increment(&self) {
         self.0.set(self.0.get() + 1);
     }
     pub fn decrement(&self) {
--- a/daemon/src/invariants.rs
+++ b/daemon/src/invariants.rs
@@ -146,7 +146,7 @@
     /// This process ends, and its platform has not heard of an end by now.
     pub fn left_overdue(&self, now: Micros, id: &str, deadline: Micros) {
         if now > deadline.plus(END_GRACE) {
-            self.late_end.up();
+            self.late_end.increment();
             let late_ms = now.since(deadline).0 / 1000;
             tracing::error!(id, late_ms, "violation: an end is left to the next process too late");
         }
@@ -158,7 +158,7 @@
             return;
         }
         if now > deadline.plus(END_GRACE) && up > RESTART_GRACE {
-            self.late_end.up();
+            self.late_end.increment();
             let late_ms = now.since(deadline).0 / 1000;
             tracing::error!(id, late_ms, "violation: an end was told too late");
         }
@@ -166,7 +166,7 @@
 }
 
 fn violated(count: &Counter, call: &OutboundCall, what: &str) {
-    count.up();
+    count.increment();
     tracing::error!(id = call.id, attempt = call.attempt, to = call.receiver.0, "violation: {what}");
 }
 
@@ -190,7 +190,7 @@
 impl Drop for PendingResponse<'_> {
     fn drop(&mut self) {
         if self.owed {
-            self.invariants.unanswered.up();
+            self.invariants.unanswered.increment();
             tracing::error!("violation: a request was read and not answered");
         }
     }
--- a/daemon/src/list/dns.rs
+++ b/daemon/src/list/dns.rs
@@ -104,7 +104,7 @@
             }
             Some(Some(Ok((n, from)))) => match dns.answer(&bytes[..n]) {
                 Some((reply, changed)) => {
-                    shared.counters.dns_messages.up();
+                    shared.counters.dns_messages.increment();
                     let _ = dns.socket.send_to(&reply, from).await;
                     changed
                 }
@@ -112,7 +112,7 @@
             },
         };
         if tell {
-            shared.counters.list_answers.up();
+            shared.counters.list_answers.increment();
             let (list, wrong) = dns.zone.endpoints(&dns.names);
             wrong.iter().for_each(|w| tracing::warn!("dns: {w}"));
             if shared.core.send(CoreMessage::EndpointList(list)).await.is_err() {
--- a/daemon/src/list/follow.rs
+++ b/daemon/src/list/follow.rs
@@ -111,7 +111,7 @@
 
     /// Versions of the old discovery mean nothing to the new one, whether a call was out when it moved or not.
     async fn moved(&mut self) -> Result<(), ModuleGone> {
-        self.shared.counters.list_moves.up();
+        self.shared.counters.list_moves.increment();
         (self.conn, self.discovery.generation, self.confirmed) = (None, None, false);
         // What the module wished for was a call to the old one.
         while self.wishes.try_recv().is_ok() {}
@@ -208,7 +208,7 @@
             self.behind = true;
             return Ok(Next::Call);
         };
-        self.shared.counters.list_told.up();
+        self.shared.counters.list_told.increment();
         self.discovery.generation = Some(list.generation);
         self.shared.core.send(CoreMessage::EndpointList(list)).await.map_err(|_| ModuleGone)?;
         Ok(Next::Call)
@@ -220,7 +220,7 @@
             self.discovery.generation = None;
             return Ok(Next::Call);
         }
-        self.shared.counters.list_answers.up();
+        self.shared.counters.list_answers.increment();
         // It has what it wished for.
         while self.wishes.try_recv().is_ok() {}
         self.log_answer(&list);
@@ -265,7 +265,7 @@
 
     async fn failed(&mut self, asked: Micros, failed: Failed) -> Result<Next, ModuleGone> {
         let counters = &self.shared.counters;
-        counters.list_failures.up();
+        counters.list_failures.increment();
         (self.conn, self.confirmed) = (None, false);
         self.failures += 1;
         let unanswered_ms = self.shared.clock.now().since(self.answered_at).0 / 1000;
@@ -299,7 +299,7 @@
             }
             // A list that is too long stays so for a while: one line tells.
             Failed::TooLong(why) => {
-                self.shared.counters.list_refused.up();
+                self.shared.counters.list_refused.increment();
                 if self.complaint != why {
                     tracing::error!("list: {why}; the list that was held stays");
                 }
--- a/daemon/src/net/http/endpoint.rs
+++ b/daemon/src/net/http/endpoint.rs
@@ -75,7 +75,7 @@
                         shared.reuse_stats.borrow_mut().allows(now.since(i.since), call.unsafe_to_repeat);
                     if !good {
                         shared.counters.outbound_open.decrement();
-                        shared.counters.outbound_passed_over.up();
+                        shared.counters.outbound_passed_over.increment();
                     }
                     good
                 });
@@ -187,17 +187,17 @@
     }
     let mut conn = match kept {
         Some(conn) => {
-            counters.outbound_reused.up();
+            counters.outbound_reused.increment();
             conn
         }
         None => {
-            counters.outbound_open.up();
-            counters.outbound_opened.up();
+            counters.outbound_open.increment();
+            counters.outbound_opened.increment();
             let by = until.min(clock.now().plus(shared.connect_timeout));
             match clock.timeout_at(by, Conn::open(address, MAX_HEAD_BYTES)).await {
                 Some(Ok(conn)) => conn,
                 Some(Err(e)) if is_local(&e) => {
-                    counters.held_back_local.up();
+                    counters.held_back_local.increment();
                     clock.sleep_until(Some(clock.now().plus(LOCAL_PAUSE))).await;
                     return (Verdict::HeldBack, None, None);
                 }
@@ -215,7 +215,7 @@
     if conn.is_stale() {
         let kept = rested.is_some();
         if kept {
-            counters.held_back_closed.up();
+            counters.held_back_closed.increment();
         }
         return (if kept { Verdict::HeldBack } else { Verdict::ConnectFailed }, None, None);
     }
@@ -263,7 +263,7 @@
     if answer.status == 429 {
         match answer.again {
             Again::After(wait) => told.set(clock.now().plus(wait)),
-            Again::Unread => counters.waits_unread.up(),
+            Again::Unread => counters.waits_unread.increment(),
             Again::Unsaid => {}
         }
         if told.get() > Micros(0) && !conn.whole(&answer) {
@@ -284,7 +284,7 @@
     }
     // Turned away on a new connection, which ends with that: the endpoint runs, and its connection table is full.
     if rested.is_none() && answer.status == 503 && !answer.no_slot && answer.closes() {
-        counters.outbound_no_place.up();
+        counters.outbound_no_place.increment();
         return (Verdict::ConnectionLimit, None, None);
     }
     let verdict = verdict(&answer, told.get().since(clock.now()));
@@ -295,7 +295,7 @@
 /// as good as before.
 fn spoilt(shared: &SharedState, address: SocketAddr, why: &str) -> (Verdict, Option<Answer>, Option<Conn>) {
     let n = &shared.counters.spoilt;
-    n.up();
+    n.increment();
     if n.get() <= LOGGED {
         tracing::warn!(peer = %address, "endpoint: an answer that cannot be read: {why}");
     }
--- a/daemon/src/net/http/inbound.rs
+++ b/daemon/src/net/http/inbound.rs
@@ -64,7 +64,7 @@
         // Who has said nothing makes room for who comes, the oldest first.
         if shared.counters.inbound_open.get() >= shared.max_inbound {
             if shared.eviction_queue.make_room(shared.clock.now(), SPARE) {
-                shared.counters.inbound_sent_off.up();
+                shared.counters.inbound_sent_off.increment();
                 future::yield_now().await;
             } else {
                 async_io::Timer::after(FULL_PAUSE).await;
@@ -97,8 +97,8 @@
 
 /// Each connection has an actor of its own.
 fn serve(shared: &Rc<SharedState>, stream: Async<TcpStream>) {
-    shared.counters.inbound_opened.up();
-    shared.counters.inbound_open.up();
+    shared.counters.inbound_opened.increment();
+    shared.counters.inbound_open.increment();
     let (shared, executor) = (shared.clone(), shared.executor.clone());
     let actor = async move {
         Inbound::new(&shared, stream).run().await;
@@ -167,8 +167,8 @@
             let (bytes, body_at, f, at) = match next {
                 Next::Closed => return,
                 Next::Broken(Bad(status, why)) => {
-                    counters.closed_by_error.up();
-                    counters.bad_requests.up();
+                    counters.closed_by_error.increment();
+                    counters.bad_requests.increment();
                     let _ = self.answer(status, None, why, true).await;
                     return self.sink().await;
                 }
@@ -176,7 +176,7 @@
             };
             let close = f.close || self.shared.stopping.get() || self.wrong + 1 >= WRONG_MOST;
             let wrong = self.wrong;
-            counters.requests_read.up();
+            counters.requests_read.increment();
             let owed = PendingResponse::new(&self.shared.invariants);
             let done = match parse(&bytes, body_at, at) {
                 Err(bad) => self.turn_away(bad, close).await,
@@ -192,10 +192,10 @@
             drop(bytes);
             owed.resolve();
             if done.is_err() {
-                counters.requests_abandoned.up();
+                counters.requests_abandoned.increment();
                 return;
             }
-            counters.requests_answered.up();
+            counters.requests_answered.increment();
             if close {
                 return self.sink().await;
             }
@@ -294,18 +294,18 @@
                     } else {
                         &shared.counters.closed_quiet
                     };
-                    reason.up();
+                    reason.increment();
                     return Next::Closed;
                 }
                 Some(Err(e)) if e.kind() == std::io::ErrorKind::OutOfMemory => {
                     return Next::Broken(Bad(431, "head too large"));
                 }
                 Some(Ok(_)) => {
-                    shared.counters.closed_by_client.up();
+                    shared.counters.closed_by_client.increment();
                     return Next::Closed;
                 }
                 Some(Err(_)) => {
-                    shared.counters.closed_by_error.up();
+                    shared.counters.closed_by_error.increment();
                     return Next::Closed;
                 }
             }
@@ -332,7 +332,7 @@
     }
 
     async fn turn_away(&mut self, Bad(status, why): Bad, close: bool) -> std::io::Result<()> {
-        self.shared.counters.bad_requests.up();
+        self.shared.counters.bad_requests.increment();
         self.wrong += 1;
         self.answer(status, None, why, close).await
     }
@@ -352,7 +352,7 @@
                     _ => self.answer(202, None, "", close).await,
                 };
                 if heard.is_err() {
-                    self.shared.counters.unheard.up();
+                    self.shared.counters.unheard.increment();
                     let _ = self.shared.core.send(CoreMessage::ReplyNotDelivered(n)).await;
                 }
                 heard
@@ -374,7 +374,7 @@
         let asked = self.shared.core.send(CoreMessage::WithdrawIfUntried(n, reply)).await.is_ok();
         let back = asked && back.recv().await.unwrap_or_default();
         if back {
-            self.shared.counters.unheard.up();
+            self.shared.counters.unheard.increment();
         }
         back
     }
--- a/daemon/src/net/mgmt.rs
+++ b/daemon/src/net/mgmt.rs
@@ -71,11 +71,11 @@
 fn note(shared: &SharedState, line: &[u8], answer: &str) {
     let call = String::from_utf8_lossy(line);
     let call = call.trim_end().escape_debug();
-    shared.counters.operator_calls.up();
+    shared.counters.operator_calls.increment();
     if answer.starts_with("200") {
         tracing::info!(%call, "operators: answered {answer}");
     } else {
-        shared.counters.operator_calls_refused.up();
+        shared.counters.operator_calls_refused.increment();
         tracing::warn!(%call, "operators: answered {answer}");
     }
 }
@@ -120,7 +120,7 @@
         Some(MaintenanceReply::NotPersisted(why)) => {
             format!("{done}, and not yet kept for the next process: {why}")
         }
-        Some(MaintenanceReply::Unknown) => format!("400 no such endpoint: {shown}"),
+        Some(MaintenanceReply::UnknownEndpoint) => format!("400 no such endpoint: {shown}"),
         Some(MaintenanceReply::TooMany) => "400 too many endpoints are out".into(),
         None => "400 no answer in time: call again".into(),
     }
--- a/daemon/src/net/mod.rs
+++ b/daemon/src/net/mod.rs
@@ -96,8 +96,12 @@
     /// Asks the module whether a call may leave for this address, or go on where some of it has been written.
     pub async fn request_permit(&self, call: &OutboundCall, at: SocketAddr, begun: bool) -> PermitResult {
         let (reply, allowed) = bounded(1);
-        let asks =
-            PermitRequest { n: call.number, attempt: call.attempt, to: call.receiver, partly_written: begun };
+        let asks = PermitRequest {
+            number: call.number,
+            attempt: call.attempt,
+            receiver: call.receiver,
+            partly_written: begun,
+        };
         let asked =
             self.core.send(CoreMessage::RequestPermit { request: asks, address: at, reply }).await.is_ok();
         allowed.recv().await.ok().filter(|_| asked).unwrap_or(Err(Verdict::Moot))
@@ -105,7 +109,7 @@
 
     /// The first byte of a call leaves right behind this.
     pub fn sends(&self, call: &OutboundCall, permit: &Permit) {
-        self.counters.outbound_calls.up();
+        self.counters.outbound_calls.increment();
         self.invariants.check_send(self.clock.now(), call, permit);
     }
 
--- a/daemon/src/net/smpp/gateway.rs
+++ b/daemon/src/net/smpp/gateway.rs
@@ -33,8 +33,8 @@
     while let Ok(message) = inbox.recv().await {
         let ToEndpoint::Call(call) = message else { continue };
         let by = call.until().min(shared.clock.now().plus(shared.connect_timeout));
-        shared.counters.outbound_open.up();
-        shared.counters.outbound_opened.up();
+        shared.counters.outbound_open.increment();
+        shared.counters.outbound_opened.increment();
         match shared.clock.timeout_at(by, bind(&shared, &gateway)).await {
             Some(Some(link)) => {
                 let to = call.receiver;
@@ -106,7 +106,7 @@
         }
         Read::Pdu(_) => None,
         Read::Unreadable(_) | Read::Lost => {
-            shared.counters.smpp_bad_pdus.up();
+            shared.counters.smpp_bad_pdus.increment();
             None
         }
     }
@@ -176,11 +176,11 @@
                     self.take(*c).await
                 }
                 Event::Pdu(Some(Read::Unreadable(sequence))) => {
-                    self.shared.counters.smpp_bad_pdus.up();
+                    self.shared.counters.smpp_bad_pdus.increment();
                     self.say(CommandStatus::EsmeRinvcmdid, sequence, Pdu::GenericNack).await
                 }
                 Event::Pdu(Some(Read::Lost)) => {
-                    self.shared.counters.smpp_bad_pdus.up();
+                    self.shared.counters.smpp_bad_pdus.increment();
                     self.say(CommandStatus::EsmeRinvcmdlen, 0, Pdu::GenericNack).await;
                     false
                 }
@@ -292,7 +292,7 @@
                 false
             }
             _ => {
-                self.shared.counters.smpp_bad_pdus.up();
+                self.shared.counters.smpp_bad_pdus.increment();
                 self.say(CommandStatus::EsmeRinvcmdid, sequence, Pdu::GenericNack).await
             }
         }
--- a/daemon/src/net/smpp/inbound.rs
+++ b/daemon/src/net/smpp/inbound.rs
@@ -44,13 +44,13 @@
             Some(Ok((stream, _))) => {
                 session += 1;
                 let counters = &front.shared.counters;
-                counters.inbound_opened.up();
+                counters.inbound_opened.increment();
                 // Over the bound a session would take the room of those that are bound: it is closed.
                 if counters.inbound_open.get() >= front.shared.max_inbound {
-                    counters.inbound_turned_away.up();
+                    counters.inbound_turned_away.increment();
                     continue;
                 }
-                counters.inbound_open.up();
+                counters.inbound_open.increment();
                 let (front, executor) = (front.clone(), front.shared.executor.clone());
                 let actor = async move {
                     Session::new(&front, session, stream).run().await;
@@ -133,11 +133,11 @@
                     self.take(*command, &mailbox).await
                 }
                 Event::Pdu(Some(Read::Unreadable(sequence))) => {
-                    self.front.shared.counters.smpp_bad_pdus.up();
+                    self.front.shared.counters.smpp_bad_pdus.increment();
                     self.say(CommandStatus::EsmeRinvcmdid, sequence, Pdu::GenericNack).await
                 }
                 Event::Pdu(Some(Read::Lost)) => {
-                    self.front.shared.counters.smpp_bad_pdus.up();
+                    self.front.shared.counters.smpp_bad_pdus.increment();
                     self.say(CommandStatus::EsmeRinvcmdlen, 0, Pdu::GenericNack).await;
                     false
                 }
@@ -214,7 +214,7 @@
             None if c.id() == rusmpp::CommandId::DeliverSmResp => self.acknowledged(sequence).await,
             Some(Pdu::UnbindResp) => false,
             _ => {
-                self.front.shared.counters.smpp_bad_pdus.up();
+                self.front.shared.counters.smpp_bad_pdus.increment();
                 self.say(CommandStatus::EsmeRinvcmdid, sequence, Pdu::GenericNack).await
             }
         }
@@ -243,7 +243,7 @@
         if self.front.shared.stopping.get() {
             return CommandStatus::EsmeRbindfail;
         }
-        self.front.shared.counters.smpp_sessions.up();
+        self.front.shared.counters.smpp_sessions.increment();
         self.bound = Some((system_id.to_owned(), submits));
         if let Some(mailbox) = receives {
             let (system_id, mailbox) = (system_id.to_owned(), mailbox.clone());
@@ -257,7 +257,7 @@
         let taken = match self.request(system_id, sm) {
             Ok(taken) => taken,
             Err(status) => {
-                self.front.shared.counters.bad_requests.up();
+                self.front.shared.counters.bad_requests.increment();
                 return self.say(status, sequence, SubmitSmResp::default()).await;
             }
         };
@@ -271,7 +271,7 @@
                 let resp = SubmitSmResp::new(field(&id), Vec::new());
                 let heard = self.say(CommandStatus::EsmeRok, sequence, resp).await;
                 if !heard {
-                    self.front.shared.counters.unheard.up();
+                    self.front.shared.counters.unheard.increment();
                     let _ = self.front.shared.core.send(CoreMessage::ReplyNotDelivered(n)).await;
                 }
                 heard
--- a/daemon/src/net/smpp/receipts.rs
+++ b/daemon/src/net/smpp/receipts.rs
@@ -62,7 +62,7 @@
                 pending.values_mut().filter(|p| p.1 == Some(session)).for_each(|p| p.1 = None);
             }
             Some(ToReceipts::Acknowledged(n)) if pending.remove(&n).is_some() => {
-                shared.counters.smpp_receipts.up();
+                shared.counters.smpp_receipts.increment();
                 let _ = shared.core.send(CoreMessage::NoticeDelivered(n)).await;
             }
             _ => {}
@@ -79,7 +79,7 @@
         for n in gone {
             tracing::warn!(request = %pending[&n].0.id, "smpp: a receipt was not acknowledged and is given up");
             pending.remove(&n);
-            shared.counters.smpp_receipts_lost.up();
+            shared.counters.smpp_receipts_lost.increment();
             let _ = shared.core.send(CoreMessage::NoticeDelivered(n)).await;
         }
     }
--- a/daemon/src/notices.rs
+++ b/daemon/src/notices.rs
@@ -39,7 +39,7 @@
             }
         }
         for ending in batch {
-            shared.counters.notices_sent.up();
+            shared.counters.notices_sent.increment();
             let now = shared.clock.now();
             shared.invariants.ended(now, &ending.id, ending.deadline, shared.clock.uptime());
             if shared.core.send(CoreMessage::NoticeDelivered(ending.number)).await.is_err() {
@@ -81,7 +81,7 @@
                 }
                 Ok(_) => {
                     self.conn = None;
-                    self.shared.counters.notices_retried.up();
+                    self.shared.counters.notices_retried.increment();
                     let wait = async {
                         Timer::after(pause).await;
                         (pause * 2).min(PAUSE_MOST)
--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -373,13 +373,13 @@
     let (new, product) = match read {
         Ok(read) => read,
         Err(e) => {
-            shared.counters.reloads_refused.up();
+            shared.counters.reloads_refused.increment();
             tracing::error!("reload: {e}; the old settings stay");
             return false;
         }
     };
     reload_product(shared, ours, &product);
-    shared.counters.reloads.up();
+    shared.counters.reloads.increment();
     let late = held.differs(&new);
     if !late.is_empty() {
         tracing::warn!("reload: {} will hold from the next start on", late.join(", "));
--- a/daemon/src/state_files.rs
+++ b/daemon/src/state_files.rs
@@ -39,7 +39,7 @@
 ) {
     while let Ok(all) = inbox.recv().await {
         match write(&folder, most, all).await {
-            Ok(()) => shared.counters.idle_kept.up(),
+            Ok(()) => shared.counters.idle_kept.increment(),
             Err(e) => {
                 tracing::warn!("idle: what is remembered could not be kept: {e}");
                 let _ = std::fs::remove_file(folder.join(NEW));
