--- a/config/src/duties.rs
+++ b/config/src/duties.rs
@@ -2,7 +2,7 @@
 
 use crate::product::{Seconds, Wrong};
 use onyxrock::interface::Micros;
-use onyxrock_membership::{Key, Keys, NoKey};
+use onyxrock_membership::{Key, Keys, MissingSigningKey};
 use serde::{Deserialize, Deserializer, de};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
--- a/daemon/src/core_actor/calls.rs
+++ b/daemon/src/core_actor/calls.rs
@@ -51,7 +51,7 @@
             body: Vec::new(),
             started: now,
             timeout: patience.min(probing.patience()),
-            probe_path: Some(probing.path.clone()),
+            probe_path: Some(probing.probe_path.clone()),
             cancellation: None,
         });
     }
@@ -106,7 +106,7 @@
 
     pub(super) fn answered(&mut self, now: Micros, a: &AttemptOutcome) {
         if let Some(p) = &mut self.probing {
-            p.ended(a.number);
+            p.probe_ended(a.number);
         }
         self.out.remove(&(a.number, a.attempt));
         let c = &self.shared.counters;
--- a/daemon/src/core_actor/endpoint_list.rs
+++ b/daemon/src/core_actor/endpoint_list.rs
@@ -137,7 +137,7 @@
         self.directory.taken();
         self.first_list = None;
         if let Some(p) = &mut self.probing {
-            p.listed(Some(generation));
+            p.set_list_generation(Some(generation));
         }
         self.shared.counters.list_old.set(0);
         self.shared.counters.listed.set(self.directory.listed());
--- a/daemon/src/core_actor/guard.rs
+++ b/daemon/src/core_actor/guard.rs
@@ -70,7 +70,7 @@
 
     fn probe_may_go(&mut self, now: Micros, n: u64, valid_until: Micros) -> PermitResult {
         let Some(probing) = &mut self.probing else { return Err(Verdict::Moot) };
-        let may = probing.writing(now, n);
+        let may = probing.begin_probe(now, n);
         let counters = &self.shared.counters;
         if may.is_some() { &counters.probes } else { &counters.probes_refused }.increment();
         let epoch = may.ok_or(Verdict::Moot)?;
--- a/daemon/src/list/fetch.rs
+++ b/daemon/src/list/fetch.rs
@@ -7,7 +7,7 @@
 use onyxrock::interface::Micros;
 use onyxrock_config::list::Reader;
 use onyxrock_roster::{Refused, Staged};
-use onyxrock_sharing::{LIST_NEWS_MOST, Role};
+use onyxrock_sharing::{MAX_LIST_UPDATE_BYTES, ListRole};
 use std::net::SocketAddr;
 
 /// A list as it was read.
@@ -48,7 +48,7 @@
     /// The answer may begin until then; after that it must go on coming.
     pub answer_by: Micros,
     pub address: SocketAddr,
-    pub role: Role,
+    pub role: ListRole,
 }
 
 fn text_of(e: std::io::Error) -> String {
@@ -85,8 +85,8 @@
         };
         // Who asks for all says under which lease: a source that keeps the highest refuses one that is over.
         let epoch = match self.role {
-            Role::Owner(epoch) => format!("X-Epoch: {epoch}\r\n"),
-            Role::Alone | Role::Told => String::new(),
+            ListRole::Owner(epoch) => format!("X-Epoch: {epoch}\r\n"),
+            ListRole::Standalone | ListRole::Follower => String::new(),
         };
         format!("GET /v1/endpoints{query} HTTP/1.1\r\nHost: {}\r\n{epoch}\r\n", self.address)
     }
@@ -120,7 +120,7 @@
             if answer.status != 200 {
                 continue;
             }
-            if text.len() <= LIST_NEWS_MOST {
+            if text.len() <= MAX_LIST_UPDATE_BYTES {
                 text.extend_from_slice(part);
             }
             reader.feed(part, |l| {
@@ -138,7 +138,7 @@
             return Err(Failed::Lost(format!("answer {}", answer.status)));
         }
         let (generation, whole) = reader.end()?;
-        if text.len() > LIST_NEWS_MOST {
+        if text.len() > MAX_LIST_UPDATE_BYTES {
             text = Vec::new();
         }
         Ok((Fetched { generation, whole, entries, text }, body.again))
--- a/daemon/src/list/follow.rs
+++ b/daemon/src/list/follow.rs
@@ -11,7 +11,7 @@
 use onyxrock::interface::Micros;
 use onyxrock_config::list;
 use onyxrock_roster::Staged;
-use onyxrock_sharing::{ListNews, Role, ToList, ToPeers};
+use onyxrock_sharing::{ListUpdate, ListRole, ToList, ToPeers};
 use std::rc::Rc;
 
 /// An answer that comes sooner was not waited for.
@@ -51,7 +51,7 @@
         moves,
         messages,
         conn: None,
-        role: Role::Alone,
+        role: ListRole::Standalone,
         behind: false,
         complaint: String::new(),
         silences: 0,
@@ -72,7 +72,7 @@
     moves: Receiver<()>,
     messages: Receiver<ToList>,
     conn: Option<Conn>,
-    role: Role,
+    role: ListRole,
     /// What was told does not follow from what is held: ask once.
     behind: bool,
     /// The last complaint about a list that is too long, which one line tells of.
@@ -152,7 +152,7 @@
     }
 
     async fn call(&mut self, asked: Micros) -> Result<Fetched, Failed> {
-        let stands_by = self.role == Role::Told && self.discovery.generation.is_some() && !self.behind;
+        let stands_by = self.role == ListRole::Follower && self.discovery.generation.is_some() && !self.behind;
         if stands_by {
             return future::pending().await;
         }
@@ -179,7 +179,7 @@
     fn wait(&self) -> Micros {
         let holds_calls = self.discovery.lists_pushed && !self.answered_once;
         let trusts = self.confirmed || self.discovery.large_fleet && self.silences < 2 && !holds_calls;
-        let waits = trusts && self.role != Role::Told && self.discovery.generation.is_some();
+        let waits = trusts && self.role != ListRole::Follower && self.discovery.generation.is_some();
         if waits { self.discovery.watch_wait } else { Micros(0) }
     }
 
@@ -199,10 +199,10 @@
             ToList::Told(news) => news,
         };
         let held = self.discovery.generation;
-        if self.role != Role::Told || held == Some(news.generation) {
+        if self.role != ListRole::Follower || held == Some(news.generation) {
             return Ok(Next::Call);
         }
-        let follows = held == Some(news.from) && !news.body.is_empty();
+        let follows = held == Some(news.previous_generation) && !news.body.is_empty();
         let list = follows.then(|| list::parse(&news.body, &self.discovery.names).ok()).flatten();
         let Some(list) = list.filter(|l| l.generation == news.generation) else {
             self.behind = true;
@@ -230,10 +230,10 @@
         self.answered_at = self.shared.clock.now();
         self.shared.list_answered_at.set(self.answered_at);
         let at_once = self.answered_at.since(asked) < ANSWERED_AT_ONCE && waited;
-        if let (Role::Owner(epoch), Some(peers)) = (self.role, &self.shared.peers) {
+        if let (ListRole::Owner(epoch), Some(peers)) = (self.role, &self.shared.peers) {
             let from = self.discovery.generation.unwrap_or(list.generation);
-            let news = ListNews { epoch, from, generation: list.generation, body: list.text };
-            let _ = peers.try_send(ToPeers::List(news));
+            let news = ListUpdate { epoch, previous_generation: from, generation: list.generation, body: list.text };
+            let _ = peers.try_send(ToPeers::ListUpdate(news));
         }
         self.discovery.generation = Some(list.generation);
         self.pass(list.generation, list.whole, list.entries).await?;
--- a/daemon/src/net/http/inbound.rs
+++ b/daemon/src/net/http/inbound.rs
@@ -234,7 +234,7 @@
     }
     async fn members(shared: &SharedState, reply: Sender<Value>) -> bool {
         match &shared.peers {
-            Some(peers) => peers.send(ToPeers::Show(reply)).await.is_ok(),
+            Some(peers) => peers.send(ToPeers::Status(reply)).await.is_ok(),
             None => false,
         }
     }
--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -25,7 +25,7 @@
 use onyxrock_config::product::Product;
 use onyxrock_membership::Membership;
 use onyxrock_roster::{Directory, Rules, Terms};
-use onyxrock_sharing::{Peers, Probing, ToPeers, listen, place, tempo};
+use onyxrock_sharing::{Peers, DutyRunner, ToPeers, bind_socket, member_by_name, tempo};
 use rustix::net::sockopt::{set_socket_reuseaddr, set_socket_reuseport};
 use rustix::net::{AddressFamily, SocketFlags, SocketType, bind, listen as listen_at, socket_with};
 use std::cell::Cell;
@@ -158,18 +158,18 @@
     gateways.into_iter().for_each(|g| module.gateway(g));
     module.begin_maintenance(&taken_out);
     if let (Some(d), Some(class)) = (&duties, probe_class) {
-        let (me, now) = (place(d, &config.name)?, shared.clock.now());
-        let socket = listen(d)?;
+        let (me, now) = (member_by_name(d, &config.name)?, shared.clock.now());
+        let socket = bind_socket(d)?;
         let mut entropy = [0; 8];
         getrandom::fill(&mut entropy).map_err(|e| format!("no random numbers: {e}"))?;
-        let setup = onyxrock_membership::Settings {
+        let setup = onyxrock_membership::MembershipSettings {
             me,
-            members: u16::try_from(d.members.len()).map_err(|_| "[duties]: too many members")?,
+            member_count: u16::try_from(d.members.len()).map_err(|_| "[duties]: too many members")?,
             keys: d.keys.clone(),
-            tempo: tempo(d.lease),
+            timing: tempo(d.lease),
         };
         let membership = Membership::new(setup, now.0, u64::from_le_bytes(entropy), now);
-        let boot = membership.boot();
+        let boot = membership.boot_id();
         let folder = config.state.clone();
         let keep = Box::new(move |bound| {
             let kept = state_files::keep_epoch(&folder, bound);
@@ -177,11 +177,11 @@
         });
         let memory = state_files::epoch(&config.state);
         let out = to_peers.clone();
-        module.probing = Some(Probing::new(d, me, boot, now, class, out, to_list, memory, keep));
+        module.probing = Some(DutyRunner::new(d, me, boot, now, class, out, to_list, memory, keep));
         let at = socket.get_ref().local_addr().map_err(|e| e.to_string())?;
         tracing::info!("listens on {at} for members");
         let (clock, out, members) = (shared.clock, to_module.clone(), d.members.clone());
-        let peers = Peers { now: move || clock.now(), out, socket, membership, members, lost: 0 };
+        let peers = Peers { now: move || clock.now(), outbox: out, socket, membership, members, send_failures: 0 };
         executor.spawn(peers.run(peers_inbox)).detach();
     }
     // A zone of our own is later than what discovery last told.
@@ -340,7 +340,7 @@
 fn reload_product(shared: &SharedState, ours: &Product, new: &Product) {
     if let (Some(peers), Some(d)) = (&shared.peers, &new.duties) {
         let _ = peers.try_send(ToPeers::Rekey(d.keys.clone()));
-        tracing::info!("reload: members sign with key {}, {} are believed", d.keys.sign(), d.keys.believed());
+        tracing::info!("reload: members sign with key {}, {} are believed", d.keys.signing_key_id(), d.keys.accepted_count());
     }
     let differs = match (&ours.duties, &new.duties) {
         (Some(ours), Some(new)) => ours.differs(new),
--- a/daemon/src/state_files.rs
+++ b/daemon/src/state_files.rs
@@ -69,19 +69,19 @@
 
 /// The bound that an earlier process made last. One line tells of a file that cannot be used: it is as good as none, and
 /// the other voters are asked.
-pub fn epoch(folder: &Path) -> duties::Memory {
+pub fn epoch(folder: &Path) -> duties::StoredBound {
     let path = folder.join(EPOCH);
     let why = match std::fs::read_to_string(&path) {
-        Err(e) if e.kind() == ErrorKind::NotFound => return duties::Memory::Lost,
+        Err(e) if e.kind() == ErrorKind::NotFound => return duties::StoredBound::Lost,
         Err(e) => e.to_string(),
         // The number stands there twice: half a file, or a damaged one, is no lower bound.
         Ok(text) => match text.split_whitespace().map(str::parse).collect::<Vec<_>>().as_slice() {
-            [Ok(n), Ok(again)] if n == again => return duties::Memory::Kept(*n),
+            [Ok(n), Ok(again)] if n == again => return duties::StoredBound::Known(*n),
             _ => "it is no bound of epochs".to_owned(),
         },
     };
     tracing::warn!("duties: {} is left out: {why}", path.display());
-    duties::Memory::Lost
+    duties::StoredBound::Lost
 }
 
 /// Makes a bound last. What write() has taken survives the process, and the old file stands until the new one is whole.
@@ -94,7 +94,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use onyxrock_duties::Memory::{Kept, Lost};
+    use onyxrock_duties::StoredBound::{Known, Lost};
 
     #[test]
     fn a_bound_lasts_and_a_damaged_one_is_none() {
@@ -103,7 +103,7 @@
         assert_eq!(epoch(&folder), Lost);
         keep_epoch(&folder, 1000).unwrap();
         keep_epoch(&folder, 2000).unwrap();
-        assert_eq!(epoch(&folder), Kept(2000));
+        assert_eq!(epoch(&folder), Known(2000));
         for damaged in ["", "2000", "20", "2000 200\n", "x x", "1 1 1"] {
             std::fs::write(folder.join(EPOCH), damaged).unwrap();
             assert_eq!(epoch(&folder), Lost, "{damaged:?}");
--- a/duties/src/book.rs
+++ b/duties/src/duty_table.rs
@@ -1,6 +1,6 @@
 //! The duties of one instance: which are wanted, whose each should be, and the leases for its own.
 
-use crate::{Boot, DUTIES_MOST, Duty, Epoch, Holder, Member, Memory, Message, NotNow, Terms, Voter, rank};
+use crate::{BootId, DUTIES_MOST, Duty, Epoch, Holder, Member, StoredBound, Message, NotNow, LeaseTerms, Voter, rank};
 use onyxrock::interface::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -51,12 +51,12 @@
 
 /// All that one instance knows of duties.
 #[derive(Clone, Debug)]
-pub struct Book {
+pub struct DutyTable {
     me: Member,
     members: u16,
     voters: u16,
-    boot: Boot,
-    terms: Terms,
+    boot: BootId,
+    terms: LeaseTerms,
     holder: Holder,
     voter: Option<Voter>,
     /// Who is seen alive, and since when.
@@ -68,15 +68,15 @@
     won: u64,
 }
 
-impl Book {
+impl DutyTable {
     /// A book for the member `me` of so many, of which the first `voters` vote. `boot` is a number that no other
     /// process of this member has, `memory` what [`Book::to_keep`] asked an earlier one to make last.
     #[must_use]
     pub fn new(
-        me: Member, members: u16, voters: u16, terms: Terms, boot: Boot, now: Micros, memory: Memory,
-    ) -> Book {
+        me: Member, members: u16, voters: u16, terms: LeaseTerms, boot: BootId, now: Micros, memory: StoredBound,
+    ) -> DutyTable {
         let voters = voters.clamp(1, members.max(1));
-        Book {
+        DutyTable {
             me,
             members,
             voters,
@@ -94,12 +94,12 @@
 
     /// The terms of every lease.
     #[must_use]
-    pub fn terms(&self) -> Terms {
+    pub fn terms(&self) -> LeaseTerms {
         self.terms
     }
 
     /// Who is seen alive now. It only says who should ask; a view that is wrong costs time, not safety.
-    pub fn view(&mut self, now: Micros, alive: BTreeSet<Member>) {
+    pub fn set_alive(&mut self, now: Micros, alive: BTreeSet<Member>) {
         self.alive.retain(|m, _| alive.contains(m) || *m == self.me);
         for m in alive {
             self.alive.entry(m).or_insert(now);
@@ -138,7 +138,7 @@
     /// A member that has only just come may go again, and knows little yet: duties do not move to it at once. Where most
     /// have only just come the net is at fault: by the few that are left each would take itself for the first.
     fn settled(&self, now: Micros) -> Vec<Member> {
-        let rest = Micros(self.terms.lease.0 * SETTLE);
+        let rest = Micros(self.terms.duration.0 * SETTLE);
         let old = self.alive.iter().filter(|(_, since)| now.since(**since) >= rest);
         let old: Vec<_> = old.map(|(m, _)| *m).collect();
         if old.len() * 2 <= self.alive.len() { self.alive.keys().copied().collect() } else { old }
@@ -150,7 +150,7 @@
             return Vec::new();
         }
         if let Message::Want { duties } = &message {
-            let until = now.plus(self.terms.lease);
+            let until = now.plus(self.terms.duration);
             for duty in duties {
                 if let Some(w) = self.wanted_entry(*duty) {
                     w.until = w.until.max(until);
@@ -159,7 +159,7 @@
             // What was not known to be wanted is asked for at the next round.
             return Vec::new();
         }
-        if matches!(message, Message::Answer { .. }) && from.0 < self.voters {
+        if matches!(message, Message::LeaseResponse { .. }) && from.0 < self.voters {
             let before = self.reached(now);
             self.answered.insert(from, now);
             // A majority answers again: what is wanted need not wait for the next round.
@@ -167,7 +167,7 @@
                 self.round = now;
             }
         }
-        if let Message::Bound { boot, bound } = &message
+        if let Message::EpochBound { boot, bound } = &message
             && (*boot, from.0 < self.voters) == (self.boot, true)
             && let Some(v) = &mut self.voter
         {
@@ -180,7 +180,7 @@
 
     /// A majority of voters has answered within the length of a lease, this one included where it votes.
     fn reached(&self, now: Micros) -> bool {
-        let lately = self.answered.values().filter(|t| now.since(**t) < self.terms.lease).count();
+        let lately = self.answered.values().filter(|t| now.since(**t) < self.terms.duration).count();
         lately + usize::from(self.voter.is_some()) >= self.holder.quorum()
     }
 
@@ -198,11 +198,11 @@
         if now < self.round {
             return out;
         }
-        self.round = now.plus(self.terms.renew());
+        self.round = now.plus(self.terms.renew_interval());
         if let Some(v) = &mut self.voter {
             v.tidy(now);
             if v.asks_others(now) {
-                self.tell_voters(now, &Message::Recall { boot: self.boot }, &mut out);
+                self.tell_voters(now, &Message::EpochQuery { boot: self.boot }, &mut out);
             }
         }
         self.holder.tidy(now);
@@ -229,7 +229,7 @@
                     // Others ask too, and each has a part: all but one must step back, those behind for longer. A
                     // promise to somebody who is gone ends by itself before that.
                     let place = rank::place(*duty, self.me, (0..self.members).map(Member)) as u64;
-                    w.rest = now.plus(Micros(self.terms.renew().0 * place));
+                    w.rest = now.plus(Micros(self.terms.renew_interval().0 * place));
                     w.tries = 0;
                     back.push(*duty);
                 }
@@ -295,12 +295,12 @@
     /// A number to make last, for the [`Memory`] of the next process; then say [`Book::kept`]. Until it lasts nothing is
     /// promised beyond the one before.
     #[must_use]
-    pub fn to_keep(&self) -> Option<Epoch> {
+    pub fn bound_to_persist(&self) -> Option<Epoch> {
         self.voter.as_ref().and_then(Voter::to_keep)
     }
 
     /// That number outlives the process now.
-    pub fn kept(&mut self, bound: Epoch) {
+    pub fn mark_bound_persisted(&mut self, bound: Epoch) {
         self.voter.iter_mut().for_each(|v| v.kept(bound));
     }
 
@@ -356,7 +356,7 @@
 
     /// The leases that are held.
     #[must_use]
-    pub fn owned(&self, now: Micros) -> Vec<Owned> {
+    pub fn held_leases(&self, now: Micros) -> Vec<Owned> {
         let one = |duty: &Duty| {
             let (since, until) = (self.holder.since(now, *duty)?, self.holder.until(now, *duty)?);
             let epoch = self.holder.epoch(now, *duty)?;
--- a/duties/src/fence.rs
+++ b/duties/src/fence.rs
@@ -51,11 +51,11 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::Kind;
+    use crate::DutyKind;
 
     #[test]
     fn what_comes_from_an_earlier_lease_is_refused_and_counted() {
-        let (a, b) = (Duty { kind: Kind::List, of: 0 }, Duty { kind: Kind::Probe, of: 0 });
+        let (a, b) = (Duty { kind: DutyKind::List, target: 0 }, Duty { kind: DutyKind::Probe, target: 0 });
         let mut fence = Fence::default();
         assert!(!fence.admit(a, 0), "no lease has that epoch");
         assert!(fence.admit(a, 3) && fence.admit(a, 3) && fence.admit(b, 1));
--- a/duties/src/holder.rs
+++ b/duties/src/holder.rs
@@ -1,6 +1,6 @@
 //! The side that holds leases and does the duties.
 
-use crate::{Boot, Duty, Epoch, Member, Message, Terms};
+use crate::{BootId, Duty, Epoch, Member, Message, LeaseTerms};
 use onyxrock::interface::Micros;
 use std::collections::BTreeMap;
 
@@ -41,8 +41,8 @@
 /// The leases of one life of a member.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct Holder {
-    terms: Terms,
-    boot: Boot,
+    terms: LeaseTerms,
+    boot: BootId,
     voters: u16,
     claims: BTreeMap<Duty, Claim>,
     /// The highest epochs that voters have told of.
@@ -54,7 +54,7 @@
 impl Holder {
     /// One that holds nothing. The first `voters` members vote.
     #[must_use]
-    pub fn new(terms: Terms, boot: Boot, voters: u16) -> Holder {
+    pub fn new(terms: LeaseTerms, boot: BootId, voters: u16) -> Holder {
         Holder { terms, boot, voters, claims: BTreeMap::new(), known: BTreeMap::new(), released: None }
     }
 
@@ -77,14 +77,14 @@
             // A lease that ran out is over: what is done under the next one must be told from it.
             let over = c.held == c.asking && c.held > 0 && c.until <= now;
             // One voter that knows of a higher epoch must not cost a lease that the others go on renewing.
-            let renewed = c.held == c.asking && c.until > now.plus(Micros(self.terms.lease.0 / 2));
+            let renewed = c.held == c.asking && c.until > now.plus(Micros(self.terms.duration.0 / 2));
             if c.asking <= known && !renewed || over {
                 c.asking = known.max(c.asking) + 1;
                 c.promised.clear();
             }
             named.push((duty, c.asking));
         }
-        Some(Message::Ask { boot: self.boot, sent: now.0, duties: named })
+        Some(Message::LeaseRequest { boot: self.boot, sent: now.0, duties: named })
     }
 
     /// A voter has told of an epoch: the next question asks for a higher one, as long as this one is not held.
@@ -98,13 +98,13 @@
 
     /// Takes a voter's answer. True if it won a lease.
     pub fn receive(&mut self, now: Micros, from: Member, message: &Message) -> bool {
-        let Message::Answer { boot, sent, granted, refused } = message else { return false };
+        let Message::LeaseResponse { boot, sent, granted, refused } = message else { return false };
         let sent = Micros(*sent);
         // An answer to an earlier life, or to a question that is yet to be asked, is worth nothing.
         if *boot != self.boot || from.0 >= self.voters || sent > now {
             return false;
         }
-        let (quorum, lease, mut won) = (self.quorum(), self.terms.lease, false);
+        let (quorum, lease, mut won) = (self.quorum(), self.terms.duration, false);
         for (duty, epoch) in refused {
             self.hint(*duty, *epoch);
         }
@@ -187,13 +187,13 @@
         let c = self.claims.get(&duty).ok_or(NotNow::NoLease)?;
         let since = c.since.ok_or(NotNow::NoLease)?;
         // What is begun must be over before anybody else can hold the lease.
-        if now.plus(self.terms.patience) > c.until {
+        if now.plus(self.terms.run_timeout) > c.until {
             return Err(NotNow::NoLease);
         }
         if c.out.is_some_and(|until| now < until) {
             return Err(NotNow::Busy);
         }
-        let next = c.began.unwrap_or(since).max(since).plus(self.terms.gap);
+        let next = c.began.unwrap_or(since).max(since).plus(self.terms.min_interval);
         if now < next { Err(NotNow::Pace(next)) } else { Ok(()) }
     }
 
@@ -205,7 +205,7 @@
     pub fn begin(&mut self, now: Micros, duty: Duty) -> Result<Epoch, NotNow> {
         self.may_begin(now, duty)?;
         let c = self.claims.get_mut(&duty).ok_or(NotNow::NoLease)?;
-        (c.began, c.out) = (Some(now), Some(now.plus(self.terms.patience)));
+        (c.began, c.out) = (Some(now), Some(now.plus(self.terms.run_timeout)));
         Ok(c.held)
     }
 
@@ -218,7 +218,7 @@
 
     /// Forgets what is over: promises that no lease can stand on any more, and claims without any.
     pub fn tidy(&mut self, now: Micros) {
-        let lease = self.terms.lease;
+        let lease = self.terms.duration;
         self.claims.retain(|_, c| {
             c.promised.retain(|_, sent| sent.plus(lease) > now);
             if c.until <= now {
@@ -244,14 +244,14 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::Kind;
+    use crate::DutyKind;
 
-    const TERMS: Terms = Terms { lease: Micros(40), gap: Micros(10), patience: Micros(5) };
-    const DUTY: Duty = Duty { kind: Kind::Probe, of: 1 };
+    const TERMS: LeaseTerms = LeaseTerms { duration: Micros(40), min_interval: Micros(10), run_timeout: Micros(5) };
+    const DUTY: Duty = Duty { kind: DutyKind::Probe, target: 1 };
 
     fn answer(holder: &mut Holder, now: u64, from: u16, sent: u64) -> bool {
         let (granted, refused) = (vec![(DUTY, holder.claims.get(&DUTY).map_or(1, |c| c.asking))], Vec::new());
-        let a = Message::Answer { boot: holder.boot, sent, granted, refused };
+        let a = Message::LeaseResponse { boot: holder.boot, sent, granted, refused };
         holder.receive(Micros(now), Member(from), &a)
     }
 
@@ -302,7 +302,7 @@
     fn answers_to_others_or_to_what_was_released_win_nothing() {
         let mut h = Holder::new(TERMS, 9, 3);
         h.ask(Micros(100), vec![DUTY]);
-        let stale = Message::Answer { boot: 8, sent: 100, granted: vec![(DUTY, 1)], refused: vec![] };
+        let stale = Message::LeaseResponse { boot: 8, sent: 100, granted: vec![(DUTY, 1)], refused: vec![] };
         h.receive(Micros(101), Member(0), &stale);
         answer(&mut h, 101, 1, 100);
         assert!(!answer(&mut h, 101, 7, 100), "the eighth has no vote");
@@ -330,7 +330,7 @@
         let mut h = held();
         assert_eq!(h.epoch(Micros(103), DUTY), Some(1));
         let refused = vec![(DUTY, 6)];
-        let a = Message::Answer { boot: 9, sent: 100, granted: vec![], refused };
+        let a = Message::LeaseResponse { boot: 9, sent: 100, granted: vec![], refused };
         h.receive(Micros(104), Member(1), &a);
         assert_eq!(
             h.ask(Micros(110), vec![DUTY]).map(|m| asks(&m)),
@@ -350,7 +350,7 @@
 
     fn asks(m: &Message) -> Vec<(Duty, Epoch)> {
         match m {
-            Message::Ask { duties, .. } => duties.clone(),
+            Message::LeaseRequest { duties, .. } => duties.clone(),
             other => panic!("{other:?}"),
         }
     }
--- a/duties/src/lib.rs
+++ b/duties/src/lib.rs
@@ -49,18 +49,18 @@
 //! assert!(book.begin(now, duty).is_err());
 //! ```
 
-mod book;
+mod duty_table;
 mod fence;
 mod holder;
 mod message;
 mod rank;
 mod voter;
 
-pub use book::{Book, Output, Owned};
+pub use duty_table::{DutyTable, Output, Owned};
 pub use fence::Fence;
 pub use holder::{Holder, NotNow};
 pub use message::{DUTIES_MOST, Message};
-pub use voter::{Memory, Voter};
+pub use voter::{StoredBound, Voter};
 
 use onyxrock::interface::Micros;
 use serde::{Deserialize, Serialize};
@@ -70,14 +70,14 @@
 pub struct Member(pub u16);
 
 /// One life of a member: a number that no other process of it has.
-pub type Boot = u64;
+pub type BootId = u64;
 
 /// Which lease of a duty: of two, the later one has the higher number. Zero is none.
 pub type Epoch = u64;
 
 /// What kind of duty.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
-pub enum Kind {
+pub enum DutyKind {
     /// Probing a partner that is doubted or returning.
     Probe,
     /// Asking for the list of endpoints, and telling the others.
@@ -86,14 +86,14 @@
     Coordinator,
 }
 
-impl Kind {
+impl DutyKind {
     /// As people and JSON read it.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
-            Kind::Probe => "probe",
-            Kind::List => "list",
-            Kind::Coordinator => "coordinator",
+            DutyKind::Probe => "probe",
+            DutyKind::List => "list",
+            DutyKind::Coordinator => "coordinator",
         }
     }
 }
@@ -102,31 +102,31 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 pub struct Duty {
     /// What is done.
-    pub kind: Kind,
+    pub kind: DutyKind,
     /// To whom: the number of a destination.
-    pub of: u64,
+    pub target: u64,
 }
 
 /// The terms of every lease; the same at all members.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
-pub struct Terms {
+pub struct LeaseTerms {
     /// How long a lease holds without renewal.
-    pub lease: Micros,
+    pub duration: Micros,
     /// Between two beginnings of one duty, whoever does it.
-    pub gap: Micros,
+    pub min_interval: Micros,
     /// How long one doing may take at most; less than the lease.
-    pub patience: Micros,
+    pub run_timeout: Micros,
 }
 
-impl Terms {
+impl LeaseTerms {
     /// How long a promise of a voter binds it: the lease and a tenth more, for clocks that run at other rates.
     #[must_use]
-    pub fn span(self) -> Micros {
-        self.lease.plus(Micros(self.lease.0.div_ceil(10)))
+    pub fn promise_duration(self) -> Micros {
+        self.duration.plus(Micros(self.duration.0.div_ceil(10)))
     }
     /// How often a lease is renewed: a lost question or answer may be made good before it is over.
     #[must_use]
-    pub fn renew(self) -> Micros {
-        Micros((self.lease.0 / 4).max(1))
+    pub fn renew_interval(self) -> Micros {
+        Micros((self.duration.0 / 4).max(1))
     }
 }
--- a/duties/src/message.rs
+++ b/duties/src/message.rs
@@ -1,6 +1,6 @@
 //! What members say to each other about duties.
 
-use crate::{Boot, Duty, Epoch};
+use crate::{BootId, Duty, Epoch};
 use serde::{Deserialize, Serialize};
 
 /// Duties in one message; more go in several, so that each fits in a datagram.
@@ -12,18 +12,18 @@
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 pub enum Message {
     /// To a voter: a lease is wanted, or wanted for longer.
-    Ask {
+    LeaseRequest {
         /// Which life of the sender asks.
-        boot: Boot,
+        boot: BootId,
         /// When the question left.
         sent: u64,
         /// For what, and under which epoch.
         duties: Vec<(Duty, Epoch)>,
     },
     /// The voter's answer.
-    Answer {
+    LeaseResponse {
         /// Which life had asked.
-        boot: Boot,
+        boot: BootId,
         /// When that question had left.
         sent: u64,
         /// Promised to the one that asked, under the epoch that it named.
@@ -34,21 +34,21 @@
     /// To a voter: what was asked for up to then is not wanted any more.
     Release {
         /// Which life of the sender.
-        boot: Boot,
+        boot: BootId,
         /// Questions that left later than this stand.
         sent: u64,
         /// For what.
         duties: Vec<Duty>,
     },
     /// To the other voters, from one that has lost what it kept: which epochs may have been handed out?
-    Recall {
+    EpochQuery {
         /// Which life of the sender asks.
-        boot: Boot,
+        boot: BootId,
     },
     /// The answer.
-    Bound {
+    EpochBound {
         /// Which life had asked.
-        boot: Boot,
+        boot: BootId,
         /// No epoch of any duty that this voter knows is higher.
         bound: Epoch,
     },
@@ -64,10 +64,10 @@
     #[must_use]
     pub fn fits(&self) -> bool {
         let n = match self {
-            Message::Ask { duties, .. } => duties.len(),
+            Message::LeaseRequest { duties, .. } => duties.len(),
             Message::Release { duties, .. } | Message::Want { duties } => duties.len(),
-            Message::Answer { granted, refused, .. } => granted.len() + refused.len(),
-            Message::Recall { .. } | Message::Bound { .. } => 0,
+            Message::LeaseResponse { granted, refused, .. } => granted.len() + refused.len(),
+            Message::EpochQuery { .. } | Message::EpochBound { .. } => 0,
         };
         n <= DUTIES_MOST
     }
--- a/duties/src/rank.rs
+++ b/duties/src/rank.rs
@@ -6,7 +6,7 @@
 fn weight(duty: Duty, m: Member) -> u64 {
     let mut bytes = [0; 11];
     bytes[0] = duty.kind as u8;
-    bytes[1..9].copy_from_slice(&duty.of.to_le_bytes());
+    bytes[1..9].copy_from_slice(&duty.target.to_le_bytes());
     bytes[9..].copy_from_slice(&m.0.to_le_bytes());
     xxh64(&bytes, 0)
 }
@@ -28,11 +28,11 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::Kind;
+    use crate::DutyKind;
     use std::collections::BTreeMap;
 
     fn first(of: u64, members: &[u16]) -> Member {
-        let (duty, all) = (Duty { kind: Kind::Probe, of }, members.iter().map(|m| Member(*m)));
+        let (duty, all) = (Duty { kind: DutyKind::Probe, target: of }, members.iter().map(|m| Member(*m)));
         let first = super::first(duty, all.clone()).unwrap();
         assert_eq!(all.clone().filter(|m| place(duty, *m, all.clone()) == 0).collect::<Vec<_>>(), [first]);
         first
--- a/duties/src/voter.rs
+++ b/duties/src/voter.rs
@@ -1,6 +1,6 @@
 //! The side that promises.
 
-use crate::{Boot, Duty, Epoch, Member, Message, Terms};
+use crate::{BootId, Duty, Epoch, Member, Message, LeaseTerms};
 use onyxrock::interface::Micros;
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 struct Promise {
     to: Member,
     /// A member that has started anew is another one here: what its earlier life began may not be over.
-    boot: Boot,
+    boot: BootId,
     epoch: Epoch,
     /// When the latest question left that this promise answers, on the holder's clock.
     sent: u64,
@@ -23,9 +23,9 @@
 
 /// What a voter still has of its earlier lives.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
-pub enum Memory {
+pub enum StoredBound {
     /// No epoch that it knew was higher.
-    Kept(Epoch),
+    Known(Epoch),
     /// Nothing: it is new, or its folder was wiped. It votes once enough of the others have told theirs.
     Lost,
 }
@@ -33,14 +33,14 @@
 /// Promises each duty to one life of one member at a time, under an epoch higher than any before.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct Voter {
-    terms: Terms,
+    terms: LeaseTerms,
     /// Nothing is promised before: an earlier process may have promised it elsewhere.
     quiet: Micros,
     promises: BTreeMap<Duty, Promise>,
     /// Any duty may have had any epoch up to this.
     floor: Epoch,
     /// The highest epoch of single duties beyond it, and whose it is.
-    highest: BTreeMap<Duty, (Epoch, Member, Boot)>,
+    highest: BTreeMap<Duty, (Epoch, Member, BootId)>,
     /// Epochs up to this will be known to the next process, too; none beyond it is promised.
     durable: Epoch,
     /// The highest that was asked for beyond it: another voter, which has started anew, may know of higher ones.
@@ -58,19 +58,19 @@
 impl Voter {
     /// One of so many voters, in a process that starts now.
     #[must_use]
-    pub fn new(terms: Terms, voters: u16, now: Micros, memory: Memory) -> Voter {
+    pub fn new(terms: LeaseTerms, voters: u16, now: Micros, memory: StoredBound) -> Voter {
         let quorum = voters / 2 + 1;
         // An epoch was known to a majority. Without this voter all but so many others may not know it, and one of those
         // that are heard must.
         let need = usize::from((voters - quorum + 1).min(voters - 1));
         let (floor, lost) = match memory {
-            Memory::Kept(floor) => (floor, None),
-            Memory::Lost => (0, (need > 0).then(|| Lost { need, heard: BTreeMap::new() })),
+            StoredBound::Known(floor) => (floor, None),
+            StoredBound::Lost => (0, (need > 0).then(|| Lost { need, heard: BTreeMap::new() })),
         };
         let (promises, highest) = (BTreeMap::new(), BTreeMap::new());
         Voter {
             terms,
-            quiet: now.plus(terms.span()),
+            quiet: now.plus(terms.promise_duration()),
             promises,
             floor,
             highest,
@@ -83,7 +83,7 @@
     /// The answer to a question, if the message is one.
     pub fn receive(&mut self, now: Micros, from: Member, message: &Message) -> Option<Message> {
         match message {
-            Message::Ask { boot, sent, duties } => {
+            Message::LeaseRequest { boot, sent, duties } => {
                 let (mut granted, mut refused) = (Vec::new(), Vec::new());
                 for (duty, epoch) in duties {
                     if self.ask(now, from, *boot, *sent, *duty, *epoch) {
@@ -92,7 +92,7 @@
                         refused.push((*duty, self.known(*duty)));
                     }
                 }
-                Some(Message::Answer { boot: *boot, sent: *sent, granted, refused })
+                Some(Message::LeaseResponse { boot: *boot, sent: *sent, granted, refused })
             }
             Message::Release { boot, sent, duties } => {
                 for duty in duties {
@@ -104,8 +104,8 @@
                 }
                 None
             }
-            Message::Recall { boot } => Some(Message::Bound { boot: *boot, bound: self.bound() }),
-            Message::Answer { .. } | Message::Want { .. } | Message::Bound { .. } => None,
+            Message::EpochQuery { boot } => Some(Message::EpochBound { boot: *boot, bound: self.bound() }),
+            Message::LeaseResponse { .. } | Message::Want { .. } | Message::EpochBound { .. } => None,
         }
     }
 
@@ -119,14 +119,14 @@
         self.highest.values().map(|h| h.0).fold(self.floor, Epoch::max)
     }
 
-    fn ask(&mut self, now: Micros, from: Member, boot: Boot, sent: u64, duty: Duty, epoch: Epoch) -> bool {
+    fn ask(&mut self, now: Micros, from: Member, boot: BootId, sent: u64, duty: Duty, epoch: Epoch) -> bool {
         if epoch > self.durable {
             self.wanted = self.wanted.max(epoch);
         }
         if now < self.quiet || self.lost.is_some() || epoch > self.durable {
             return false;
         }
-        let (until, known) = (now.plus(self.terms.span()), self.known(duty));
+        let (until, known) = (now.plus(self.terms.promise_duration()), self.known(duty));
         let live = self.promises.get(&duty).copied().filter(|p| p.until > now);
         match live {
             Some(p) if (p.to, p.boot) != (from, boot) => return false,
@@ -201,15 +201,15 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::Kind;
+    use crate::DutyKind;
 
-    const TERMS: Terms = Terms { lease: Micros(40), gap: Micros(10), patience: Micros(5) };
-    const DUTY: Duty = Duty { kind: Kind::Coordinator, of: 0 };
+    const TERMS: LeaseTerms = LeaseTerms { duration: Micros(40), min_interval: Micros(10), run_timeout: Micros(5) };
+    const DUTY: Duty = Duty { kind: DutyKind::Coordinator, target: 0 };
 
     fn ask(v: &mut Voter, now: u64, from: u16, epoch: Epoch) -> Result<Epoch, Epoch> {
-        let m = Message::Ask { boot: 1, sent: now, duties: vec![(DUTY, epoch)] };
+        let m = Message::LeaseRequest { boot: 1, sent: now, duties: vec![(DUTY, epoch)] };
         match v.receive(Micros(now), Member(from), &m) {
-            Some(Message::Answer { granted, refused, .. }) => match granted.first() {
+            Some(Message::LeaseResponse { granted, refused, .. }) => match granted.first() {
                 Some((_, e)) => Ok(*e),
                 None => Err(refused[0].1),
             },
@@ -217,7 +217,7 @@
         }
     }
 
-    fn voter(memory: Memory) -> Voter {
+    fn voter(memory: StoredBound) -> Voter {
         let mut v = Voter::new(TERMS, 3, Micros(0), memory);
         v.to_keep().into_iter().for_each(|n| v.kept(n));
         v
@@ -225,7 +225,7 @@
 
     #[test]
     fn a_new_promise_needs_a_higher_epoch_and_a_refusal_says_which() {
-        let mut v = voter(Memory::Kept(0));
+        let mut v = voter(StoredBound::Known(0));
         assert_eq!((ask(&mut v, 100, 0, 1), ask(&mut v, 101, 1, 2)), (Ok(1), Err(1)));
         assert_eq!(ask(&mut v, 120, 0, 1), Ok(1), "the same lease grows");
         assert_eq!(ask(&mut v, 200, 0, 1), Ok(1), "nobody had it meanwhile");
@@ -236,20 +236,20 @@
     /// An epoch that is promised and then forgotten could be handed out twice.
     #[test]
     fn nothing_is_promised_that_would_not_last() {
-        let mut v = Voter::new(TERMS, 3, Micros(0), Memory::Kept(5));
+        let mut v = Voter::new(TERMS, 3, Micros(0), StoredBound::Known(5));
         assert_eq!(ask(&mut v, 100, 0, 6), Err(5));
         assert_eq!(v.to_keep(), Some(6 + BLOCK));
         v.kept(6 + BLOCK);
         assert_eq!((ask(&mut v, 101, 0, 6), v.to_keep()), (Ok(6), None));
         assert_eq!(ask(&mut v, 200, 1, 7 + BLOCK), Err(6), "beyond what lasts");
         assert_eq!(v.to_keep(), Some(7 + 2 * BLOCK), "another voter knows of such");
-        let mut next = voter(Memory::Kept(5 + BLOCK));
+        let mut next = voter(StoredBound::Known(5 + BLOCK));
         assert_eq!(ask(&mut next, 100, 1, 7), Err(5 + BLOCK), "the next process knows none of them apart");
     }
 
     #[test]
     fn one_that_has_lost_its_memory_votes_once_the_others_have_told_theirs() {
-        let mut v = Voter::new(TERMS, 3, Micros(0), Memory::Lost);
+        let mut v = Voter::new(TERMS, 3, Micros(0), StoredBound::Lost);
         assert!(!v.asks_others(Micros(43)) && v.asks_others(Micros(44)), "its promises may stand until then");
         assert_eq!((ask(&mut v, 100, 0, 1), v.to_keep()), (Err(0), None));
         v.heard(Member(1), 0);
--- a/duties/tests/cluster.rs
+++ b/duties/tests/cluster.rs
@@ -2,11 +2,11 @@
 //! the one-at-a-time hold in any case, and when all is well again one of them does each duty within a bound.
 
 use onyxrock::interface::Micros;
-use onyxrock_duties::{Book, Duty, Epoch, Kind, Member, Memory, Message, NotNow, Output, Terms};
+use onyxrock_duties::{DutyTable, Duty, Epoch, DutyKind, Member, StoredBound, Message, NotNow, Output, LeaseTerms};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-const TERMS: Terms = Terms { lease: Micros(1_200_000), gap: Micros(400_000), patience: Micros(500_000) };
+const TERMS: LeaseTerms = LeaseTerms { duration: Micros(1_200_000), min_interval: Micros(400_000), run_timeout: Micros(500_000) };
 const STEP: u64 = 20_000;
 
 /// What happens to whom.
@@ -42,7 +42,7 @@
 }
 
 struct Node {
-    book: Option<Book>,
+    book: Option<DutyTable>,
     stopped: bool,
     /// Its clock shows another time than all others.
     offset: u64,
@@ -52,7 +52,7 @@
     out: BTreeMap<Duty, u64>,
     boots: u64,
     /// What its folder holds.
-    memory: Memory,
+    memory: StoredBound,
 }
 
 struct Cluster {
@@ -74,10 +74,10 @@
 }
 
 /// Makes last what the book asks for, as the program does.
-fn keep(book: &mut Book, before: Memory) -> Memory {
-    let Some(n) = book.to_keep() else { return before };
-    book.kept(n);
-    Memory::Kept(n)
+fn keep(book: &mut DutyTable, before: StoredBound) -> StoredBound {
+    let Some(n) = book.bound_to_persist() else { return before };
+    book.mark_bound_persisted(n);
+    StoredBound::Known(n)
 }
 
 impl Cluster {
@@ -89,9 +89,9 @@
             rate: i64::from(i % 3) * 20_000 - 20_000,
             out: BTreeMap::new(),
             boots: 0,
-            memory: Memory::Lost,
+            memory: StoredBound::Lost,
         };
-        let duties = (0..duties).map(|of| Duty { kind: Kind::Probe, of }).collect();
+        let duties = (0..duties).map(|of| Duty { kind: DutyKind::Probe, target: of }).collect();
         let mut c = Cluster {
             now: 1_000_000,
             nodes: (0..members).map(node).collect(),
@@ -124,7 +124,7 @@
         let node = &mut self.nodes[usize::from(n)];
         if node.book.is_none() {
             node.boots += 1;
-            node.book = Some(Book::new(Member(n), members, voters, TERMS, node.boots, now, node.memory));
+            node.book = Some(DutyTable::new(Member(n), members, voters, TERMS, node.boots, now, node.memory));
         }
     }
     fn trouble(&mut self, t: &Trouble) {
@@ -140,7 +140,7 @@
                 self.trouble(&Trouble::Kill(*m));
                 // A single voter's memory is nowhere else.
                 if self.voters > 1 && !std::mem::replace(&mut self.wiped, true) {
-                    self.nodes[usize::from(m % n)].memory = Memory::Lost;
+                    self.nodes[usize::from(m % n)].memory = StoredBound::Lost;
                 }
             }
             Trouble::Start(m) => self.start(m % n),
@@ -204,10 +204,10 @@
             let (duties, at) = (self.duties.clone(), self.now);
             let node = &mut self.nodes[usize::from(n)];
             let Some(book) = node.book.as_mut().filter(|_| !node.stopped) else { continue };
-            book.view(now, view);
+            book.set_alive(now, view);
             // Only some of the members want what the others own.
-            duties.iter().filter(|d| (d.of + u64::from(n)) % 2 == 0).for_each(|d| {
-                book.want(*d, now.plus(TERMS.lease));
+            duties.iter().filter(|d| (d.target + u64::from(n)) % 2 == 0).for_each(|d| {
+                book.want(*d, now.plus(TERMS.duration));
             });
             for (duty, until) in node.out.clone() {
                 if until <= at || quick {
@@ -231,15 +231,15 @@
                         .push(format!("{duty:?}: {n} under {begun:?}, which is {whose:?}'s; last {last:?}"));
                 }
                 // The patience passes on its own clock, which may be slow.
-                let until = at + TERMS.patience.0 + TERMS.patience.0 / 20;
-                node.out.insert(duty, at + TERMS.patience.0);
+                let until = at + TERMS.run_timeout.0 + TERMS.run_timeout.0 / 20;
+                node.out.insert(duty, at + TERMS.run_timeout.0);
                 let done = self.done.entry(duty).or_default();
                 if let Some((began, out, who)) = done.last() {
                     // The clocks differ by 4 % at most.
-                    if at < began + TERMS.gap.0 * 96 / 100 {
+                    if at < began + TERMS.min_interval.0 * 96 / 100 {
                         self.wrong.push(format!("{duty:?}: {who} at {began}, {n} at {at}: too soon"));
                     }
-                    if at < *out && (*who != n || at < began + TERMS.gap.0) {
+                    if at < *out && (*who != n || at < began + TERMS.min_interval.0) {
                         self.wrong.push(format!("{duty:?}: {who} until {out}, {n} at {at}: two at once"));
                     }
                 }
--- a/duties/tests/model.rs
+++ b/duties/tests/model.rs
@@ -6,14 +6,14 @@
 //! questions and restarts, see each test.
 
 use onyxrock::interface::Micros;
-use onyxrock_duties::{Duty, Epoch, Holder, Kind, Member, Memory, Message, Terms, Voter};
+use onyxrock_duties::{Duty, Epoch, Holder, DutyKind, Member, StoredBound, Message, LeaseTerms, Voter};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
 /// Span 4: a promise outlives its lease by a tick, so that the model covers clocks that drift by it.
-const WIDE: Terms = Terms { lease: Micros(3), gap: Micros(2), patience: Micros(1) };
+const WIDE: LeaseTerms = LeaseTerms { duration: Micros(3), min_interval: Micros(2), run_timeout: Micros(1) };
 /// A doing may still be out when the pace alone would allow the next.
-const LONG: Terms = Terms { lease: Micros(3), gap: Micros(1), patience: Micros(2) };
+const LONG: LeaseTerms = LeaseTerms { duration: Micros(3), min_interval: Micros(1), run_timeout: Micros(2) };
 const NODES: u16 = 3;
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
@@ -56,7 +56,7 @@
 }
 
 struct World {
-    terms: Terms,
+    terms: LeaseTerms,
     ticks: u64,
     duties: u64,
     /// The first so many ask; all vote.
@@ -75,21 +75,21 @@
     fenced: bool,
 }
 
-fn voter(terms: Terms, now: Micros, memory: Memory) -> Voter {
+fn voter(terms: LeaseTerms, now: Micros, memory: StoredBound) -> Voter {
     let mut v = Voter::new(terms, NODES, now, memory);
     v.to_keep().into_iter().for_each(|n| v.kept(n));
     v
 }
 
 /// One that has heard of this epoch: each asks for another, so that a question is not wasted on finding out.
-fn holder(terms: Terms, boot: u64, heard: Epoch) -> Holder {
+fn holder(terms: LeaseTerms, boot: u64, heard: Epoch) -> Holder {
     let mut h = Holder::new(terms, boot, NODES);
     (0..2).for_each(|d| h.hint(duty(d), heard));
     h
 }
 
 fn duty(of: u64) -> Duty {
-    Duty { kind: Kind::Probe, of }
+    Duty { kind: DutyKind::Probe, target: of }
 }
 
 /// What the voters and the holder are made with at time 1; before it nothing was promised by anybody.
@@ -101,7 +101,7 @@
 
     fn init_states(&self) -> Vec<State> {
         let node = |n: u16| Node {
-            voter: voter(self.terms, Micros(START - self.terms.span().0), Memory::Kept(0)),
+            voter: voter(self.terms, Micros(START - self.terms.promise_duration().0), StoredBound::Known(0)),
             holder: holder(self.terms, 1, Epoch::from(n)),
             asks: 0,
             begun: None,
@@ -163,7 +163,7 @@
                     node.holder.tidy(now);
                 }
                 let over = |m: &Message| match m {
-                    Message::Answer { sent, .. } => Micros(*sent).plus(self.terms.lease) <= now,
+                    Message::LeaseResponse { sent, .. } => Micros(*sent).plus(self.terms.duration) <= now,
                     _ => false,
                 };
                 next.net.retain(|(_, _, m)| !over(m));
@@ -191,9 +191,9 @@
                 node.begun = begun.ok().filter(|_| self.freezes);
                 if let Some((began, until)) = s.last[d as usize] {
                     next.overlap |= s.now < until;
-                    next.too_soon |= s.now < began + self.terms.gap.0;
+                    next.too_soon |= s.now < began + self.terms.min_interval.0;
                 }
-                next.last[d as usize] = Some((s.now, s.now + self.terms.patience.0));
+                next.last[d as usize] = Some((s.now, s.now + self.terms.run_timeout.0));
                 next.done = (next.done + 1).min(2);
             }
             Step::Effect(n) => {
@@ -211,12 +211,12 @@
             }
             Step::Restart(n) => {
                 next.restarts += 1;
-                let since = if self.waits_out { now } else { Micros(START - self.terms.span().0) };
+                let since = if self.waits_out { now } else { Micros(START - self.terms.promise_duration().0) };
                 let boot = if self.new_boot { 2 + u64::from(s.restarts) } else { 1 };
                 let asks = s.nodes[usize::from(n)].asks;
                 // What it kept is above all that it has promised; its epochs then, too.
                 let old = &s.nodes[usize::from(n)].voter;
-                let voter = voter(self.terms, since, Memory::Kept(old.bound()));
+                let voter = voter(self.terms, since, StoredBound::Known(old.bound()));
                 let holder = holder(self.terms, boot, 2 + u64::from(s.restarts));
                 next.nodes[usize::from(n)] = Node { voter, holder, asks, begun: None };
             }
--- a/lab/src/experiments/slopes/engine.rs
+++ b/lab/src/experiments/slopes/engine.rs
@@ -12,7 +12,7 @@
 use onyxrock::interface::*;
 use onyxrock::{PolicyEngine, interface::Settings};
 use onyxrock_daemon::wal::Wal;
-use onyxrock_duties::Terms as LeaseTerms;
+use onyxrock_duties::LeaseTerms as LeaseTerms;
 use onyxrock_roster::{Directory, Follows};
 use std::path::Path;
 
@@ -24,7 +24,7 @@
 /// How often the engine is looked through for what is doubted, as `sharing::Probing` does: at each renewal of leases of
 /// the settings' default length.
 pub const LEASE: LeaseTerms =
-    LeaseTerms { lease: Micros(3_000_000), gap: Micros(1_100_000), patience: Micros(1_000_000) };
+    LeaseTerms { duration: Micros(3_000_000), min_interval: Micros(1_100_000), run_timeout: Micros(1_000_000) };
 /// Senders of one destination. Memory does not depend on it; with thousands the pace of each lets no second call go
 /// within the time in which a destination is proven warm.
 const SENDERS: u32 = 4;
@@ -143,7 +143,7 @@
                     watch.time(|| std::hint::black_box(ledger.unconfirmed_destinations().count()));
                     Ok::<_, String>(watch.us)
                 })?;
-                look.push(Point { x: n as f64, y: us / LEASE.renew().secs() });
+                look.push(Point { x: n as f64, y: us / LEASE.renew_interval().secs() });
             }
         }
     }
--- a/lab/src/experiments/slopes/leases.rs
+++ b/lab/src/experiments/slopes/leases.rs
@@ -8,8 +8,8 @@
 use crate::capacity::cost::Cost;
 use crate::capacity::fit::Point;
 use onyxrock::interface::Micros;
-use onyxrock_duties::{Book, Duty, Kind, Member, Memory, Message, Output};
-use onyxrock_membership::Seal;
+use onyxrock_duties::{DutyTable, Duty, DutyKind, Member, StoredBound, Message, Output};
+use onyxrock_membership::Authenticator;
 use std::collections::VecDeque;
 
 /// Voters, as the settings' default.
@@ -32,7 +32,7 @@
 const FOREVER: Micros = Micros(u64::MAX);
 
 fn duty(of: u64) -> Duty {
-    Duty { kind: Kind::Probe, of }
+    Duty { kind: DutyKind::Probe, target: of }
 }
 
 /// The number of a member's process.
@@ -42,17 +42,17 @@
 
 /// A member: its leases, and its seal.
 struct Node {
-    book: Book,
-    seal: Seal,
+    book: DutyTable,
+    seal: Authenticator,
 }
 
 impl Node {
     /// `peers` are the members that it can send to: the first so many.
     fn new(me: u16, members: u16, voters: u16, peers: u16) -> Node {
         let boot = boot_of(me);
-        let mut book = Book::new(Member(me), members, voters, LEASE, boot, Micros(0), Memory::Kept(0));
-        book.view(Micros(0), [Member(me)].into());
-        Node { book, seal: Seal::new(Member(me), peers, keys(), boot) }
+        let mut book = DutyTable::new(Member(me), members, voters, LEASE, boot, Micros(0), StoredBound::Known(0));
+        book.set_alive(Micros(0), [Member(me)].into());
+        Node { book, seal: Authenticator::new(Member(me), peers, keys(), boot) }
     }
 
     /// Sealed datagrams with what is due.
@@ -65,7 +65,7 @@
 
     /// What a voter may promise is made to last, which is free here.
     fn keep(&mut self) {
-        self.book.to_keep().into_iter().for_each(|n| self.book.kept(n));
+        self.book.bound_to_persist().into_iter().for_each(|n| self.book.mark_bound_persisted(n));
     }
 
     /// Takes a datagram; what is to be sent back.
@@ -100,7 +100,7 @@
 
     /// One renewal. The holder's part is timed.
     fn renew(&mut self, watch: &mut Stopwatch) {
-        self.now = self.now.plus(LEASE.renew());
+        self.now = self.now.plus(LEASE.renew_interval());
         let (now, me) = (self.now, Member(VOTERS));
         let (holder, wire) = (&mut self.holder, &mut self.wire);
         let mut out: VecDeque<_> = watch.time(|| {
@@ -120,7 +120,7 @@
     }
 
     fn held(&self) -> usize {
-        self.holder.book.owned(self.now).len()
+        self.holder.book.held_leases(self.now).len()
     }
 }
 
@@ -142,7 +142,7 @@
             Ok::<_, String>(watch.us)
         })?;
         let per_round = (quorum.wire.carried - carried) as f64 / f64::from(rounds);
-        let seconds = LEASE.renew().secs();
+        let seconds = LEASE.renew_interval().secs();
         cpu.push(Point { x: n as f64, y: us / seconds });
         bytes.push(Point { x: n as f64, y: per_round / seconds });
         let book = quorum.holder.book.clone();
@@ -182,7 +182,7 @@
 
     /// One renewal of all. The voter's part is timed.
     fn renew(&mut self, watch: &mut Stopwatch) {
-        self.now = self.now.plus(LEASE.renew());
+        self.now = self.now.plus(LEASE.renew_interval());
         let now = self.now;
         watch.time(|| self.voter.tick(now));
         for (i, holder) in self.holders.iter_mut().enumerate() {
@@ -200,7 +200,7 @@
     }
 
     fn held(&self) -> usize {
-        self.holders.iter().map(|h| h.book.owned(self.now).len()).sum()
+        self.holders.iter().map(|h| h.book.held_leases(self.now).len()).sum()
     }
 }
 
@@ -222,7 +222,7 @@
             Ok::<_, String>(watch.us)
         })?;
         let per_round = (voting.wire.carried - carried) as f64 / f64::from(rounds);
-        let seconds = LEASE.renew().secs();
+        let seconds = LEASE.renew_interval().secs();
         cpu.push(Point { x: n as f64, y: us / seconds });
         bytes.push(Point { x: n as f64, y: per_round / seconds });
         memory.push(Point { x: n as f64, y: memory_of(|| voting.voter.book.clone()).0 });
@@ -244,7 +244,7 @@
     fn new(members: u16, wanted: u64) -> Result<Wanting, String> {
         let (me, voters) = (members - 1, VOTERS.min(members - 1));
         let mut node = Node::new(me, members, voters, members);
-        node.book.view(Micros(0), (0..members).map(Member).collect());
+        node.book.set_alive(Micros(0), (0..members).map(Member).collect());
         (0..wanted).for_each(|of| node.book.want(duty(of), FOREVER));
         Ok(Wanting { node, boot: boot_of(me), voters, wire: Loop::new()?, now: START })
     }
@@ -254,10 +254,10 @@
         // A majority of voters must have answered, or nothing is looked at.
         for voter in 0..self.voters {
             let (boot, granted, refused) = (self.boot, Vec::new(), Vec::new());
-            let answer = Message::Answer { boot, sent: 0, granted, refused };
+            let answer = Message::LeaseResponse { boot, sent: 0, granted, refused };
             self.node.book.receive(self.now, Member(voter), answer);
         }
-        self.now = self.now.plus(LEASE.renew());
+        self.now = self.now.plus(LEASE.renew_interval());
         let now = self.now;
         let sent: Vec<_> = watch.time(|| {
             let sent = self.node.tick(now).into_iter();
@@ -269,7 +269,7 @@
 
 /// Duties that are wanted of other members.
 pub fn wanted(plan: &Plan) -> Result<Vec<(Cost, Vec<Point>)>, String> {
-    let seconds = LEASE.renew().secs();
+    let seconds = LEASE.renew_interval().secs();
     let mut cpu = Vec::new();
     for members in plan.sizes(plan.size.forwarders) {
         let mut wanting = Wanting::new(members as u16, WANTED)?;
--- a/lab/src/experiments/slopes/wire.rs
+++ b/lab/src/experiments/slopes/wire.rs
@@ -5,7 +5,7 @@
 use onyxrock::interface::EntryState;
 use onyxrock_daemon::list::roster_endpoint;
 use onyxrock_duties::{Member, Message};
-use onyxrock_membership::{Body, Key, Keys, Refused, Seal};
+use onyxrock_membership::{Body, Key, Keys, DropReason, Authenticator};
 use onyxrock_roster::Endpoint;
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
@@ -53,19 +53,19 @@
 }
 
 /// A message about leases, sealed for a member.
-pub fn sealed(seal: &mut Seal, to: Member, message: &Message) -> Vec<u8> {
+pub fn sealed(seal: &mut Authenticator, to: Member, message: &Message) -> Vec<u8> {
     let bytes = postcard::to_allocvec(message).unwrap_or_default();
-    seal.write(to, Body::Payload(&bytes)).unwrap_or_default()
+    seal.sign_datagram(to, Body::Payload(&bytes)).unwrap_or_default()
 }
 
 /// The message in a datagram, or the reply that its sender must have first.
 pub fn opened(
-    seal: &mut Seal, now: onyxrock::interface::Micros, datagram: &[u8],
+    seal: &mut Authenticator, now: onyxrock::interface::Micros, datagram: &[u8],
 ) -> Result<Message, Option<Vec<u8>>> {
     let mut reply = None;
-    match seal.read(now, datagram, &mut reply) {
+    match seal.verify_datagram(now, datagram, &mut reply) {
         Ok((_, Body::Payload(bytes))) => postcard::from_bytes(bytes).map_err(|_| None),
-        Err(Refused::Unproven | Refused::Hello) => Err(reply.map(|(_, bytes)| bytes)),
+        Err(DropReason::Unproven | DropReason::Hello) => Err(reply.map(|(_, bytes)| bytes)),
         _ => Err(None),
     }
 }
--- a/lab/src/scale/follower.rs
+++ b/lab/src/scale/follower.rs
@@ -4,7 +4,7 @@
 use onyxrock::interface::Micros;
 use onyxrock_config::list::{self, List};
 use onyxrock_duties::{Epoch, Member};
-use onyxrock_sharing::{LIST_NEWS_MOST, ListNews, Role, ToList};
+use onyxrock_sharing::{MAX_LIST_UPDATE_BYTES, ListUpdate, ListRole, ToList};
 
 /// What a call may take beyond the wait that it asks for, as in the daemon.
 const GRACE: Micros = Micros(1_500_000);
@@ -23,7 +23,7 @@
     /// Take this list.
     Take(List),
     /// Tell the others.
-    Tell(ListNews),
+    Tell(ListUpdate),
     /// Discovery could not be asked.
     Failed,
 }
@@ -41,7 +41,7 @@
     member: Member,
     wait: Micros,
     generation: Option<u64>,
-    role: Role,
+    role: ListRole,
     /// What was told does not follow from what is held.
     behind: bool,
     silent: bool,
@@ -59,7 +59,7 @@
             member,
             wait,
             generation: Some(generation),
-            role: Role::Alone,
+            role: ListRole::Standalone,
             behind: false,
             silent: false,
             following: false,
@@ -77,7 +77,7 @@
 
     /// Who asks for the list, as seen here.
     #[must_use]
-    pub fn role(&self) -> Role {
+    pub fn role(&self) -> ListRole {
         self.role
     }
 
@@ -99,7 +99,7 @@
     }
 
     fn stands_by(&self) -> bool {
-        self.role == Role::Told && self.generation.is_some() && !self.behind
+        self.role == ListRole::Follower && self.generation.is_some() && !self.behind
     }
 
     /// Calls discovery where that is due, and gives up a call that takes too long.
@@ -115,7 +115,7 @@
         }
         self.calls += 1;
         let call = Call { member: self.member, number: self.calls };
-        let wait = if self.role == Role::Told { Micros(0) } else { self.wait };
+        let wait = if self.role == ListRole::Follower { Micros(0) } else { self.wait };
         self.open = Some(Open { call, since: now, until: now.plus(self.wait).plus(GRACE) });
         actions.push(Action::Ask(call, Ask { since: self.generation, wait }));
     }
@@ -137,10 +137,10 @@
         }
         match message {
             ToList::Role(role) => self.role = role,
-            ToList::Told(_) if self.role != Role::Told => {}
+            ToList::Told(_) if self.role != ListRole::Follower => {}
             ToList::Told(news) if self.generation == Some(news.generation) => {}
             ToList::Told(news) => {
-                let follows = self.generation == Some(news.from) && !news.body.is_empty();
+                let follows = self.generation == Some(news.previous_generation) && !news.body.is_empty();
                 let list = follows.then(|| list::parse(&news.body, names).ok()).flatten();
                 match list.filter(|list| list.generation == news.generation) {
                     Some(list) => {
@@ -166,7 +166,7 @@
             return;
         };
         (self.behind, self.silent) = (false, false);
-        if let Role::Owner(epoch) = self.role {
+        if let ListRole::Owner(epoch) = self.role {
             actions.push(Action::Tell(self.news(epoch, &list, body)));
         }
         self.generation = Some(list.generation);
@@ -176,9 +176,9 @@
         actions.push(Action::Take(list));
     }
 
-    fn news(&self, epoch: Epoch, list: &List, body: &[u8]) -> ListNews {
+    fn news(&self, epoch: Epoch, list: &List, body: &[u8]) -> ListUpdate {
         let from = self.generation.unwrap_or(list.generation);
-        let body = if body.len() <= LIST_NEWS_MOST { body.to_vec() } else { Vec::new() };
-        ListNews { epoch, from, generation: list.generation, body }
+        let body = if body.len() <= MAX_LIST_UPDATE_BYTES { body.to_vec() } else { Vec::new() };
+        ListUpdate { epoch, previous_generation: from, generation: list.generation, body }
     }
 }
--- a/lab/src/scale/forwarder.rs
+++ b/lab/src/scale/forwarder.rs
@@ -10,10 +10,10 @@
 use onyxrock::interface::{ClassSettings, Effect, Event, KindSettings, Micros, Settings};
 use onyxrock_config::duties::Duties;
 use onyxrock_config::list::{List, Listed};
-use onyxrock_duties::{Epoch, Member, Memory};
-use onyxrock_membership::{Membership, Output, Settings as MembershipSettings};
+use onyxrock_duties::{Epoch, Member, StoredBound};
+use onyxrock_membership::{Membership, Output, MembershipSettings as MembershipSettings};
 use onyxrock_roster::{Directory, Endpoint, Follows, Rules, Terms};
-use onyxrock_sharing::{FromPeers, Probing, Role, ToList, ToPeers, tempo};
+use onyxrock_sharing::{FromPeers, DutyRunner, ListRole, ToList, ToPeers, tempo};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -74,7 +74,7 @@
     member: Member,
     names: NameIndex,
     membership: Membership,
-    probing: Probing,
+    probing: DutyRunner,
     ledger: Ledger,
     directory: Directory,
     follower: Follower,
@@ -151,7 +151,7 @@
         let members = duties.members.len() as u16;
         let entropy = setup.seed ^ (u64::from(member.0) << 40) ^ life;
         let seen =
-            MembershipSettings { me: member, members, keys: duties.keys.clone(), tempo: tempo(duties.lease) };
+            MembershipSettings { me: member, member_count: members, keys: duties.keys.clone(), timing: tempo(duties.lease) };
         let membership = Membership::new(seen, now.0 + life, entropy, now);
         let mut settings = settings(members, member);
         let hold_back = Micros(duties.lease.0 * 3);
@@ -160,15 +160,15 @@
         let (peers, to_peers) = bounded((4 * usize::from(members)).max(1024));
         let (list, to_list) = bounded(64);
         let memory = match kept.get() {
-            0 => Memory::Lost,
-            epoch => Memory::Kept(epoch),
+            0 => StoredBound::Lost,
+            epoch => StoredBound::Known(epoch),
         };
         let keep = Box::new(move |epoch| {
             kept.set(epoch);
             true
         });
-        let boot = membership.boot();
-        let probing = Probing::new(duties, member, boot, now, class, peers, list, memory, keep);
+        let boot = membership.boot_id();
+        let probing = DutyRunner::new(duties, member, boot, now, class, peers, list, memory, keep);
         let mut directory = directory();
         take(&mut directory, now, &setup.known);
         ledger.on_list_event(now, Event::ListChanges(Vec::new()));
@@ -213,8 +213,8 @@
             member: self.member,
             usage: self.usage,
             alive: self.membership.alive().len(),
-            owns_list: matches!(self.follower.role(), Role::Owner(_)),
-            told_list: self.follower.role() == Role::Told,
+            owns_list: matches!(self.follower.role(), ListRole::Owner(_)),
+            told_list: self.follower.role() == ListRole::Follower,
         }
     }
 
@@ -261,14 +261,14 @@
                 }
                 Output::Payload { from, bytes } => {
                     if let Some(message) = wire::decode(from, &bytes) {
-                        self.probing.take(now, message);
+                        self.probing.receive(now, message);
                     }
                 }
                 Output::Up(_) | Output::Down(_) => view_changed = true,
             }
         }
         if view_changed {
-            self.probing.take(now, FromPeers::View(self.membership.alive()));
+            self.probing.receive(now, FromPeers::Alive(self.membership.alive()));
         }
         any
     }
@@ -290,13 +290,13 @@
                 }
                 Action::Close(call) => results.sent.push(Sent::Close(call)),
                 Action::Tell(news) => {
-                    if let Some((_, payload)) = wire::encode(ToPeers::List(news)) {
+                    if let Some((_, payload)) = wire::encode(ToPeers::ListUpdate(news)) {
                         send_all(&mut self.membership, &payload);
                     }
                 }
                 Action::Take(list) => self.take(now, &list, results),
                 Action::Failed => {
-                    self.probing.listed(None);
+                    self.probing.set_list_generation(None);
                     self.ledger.on_list_event(now, Event::ListFailed);
                 }
             }
@@ -310,7 +310,7 @@
         if !follows.entries.is_empty() {
             self.ledger.on_list_event(now, Event::CachedEntries(follows.entries));
         }
-        self.probing.listed(Some(list.generation));
+        self.probing.set_list_generation(Some(list.generation));
         self.ledger.on_list_event(now, Event::ListChanges(Vec::new()));
         let (name, destination) = added_by(list.generation);
         if self.directory.destination_of(&name) == Some(destination) {
@@ -320,7 +320,7 @@
 
     /// One turn of the actor round the core. True if it wants the list followed.
     fn decide(&mut self, now: Micros) -> bool {
-        self.probing.settle(now, &mut self.ledger);
+        self.probing.tick(now, &mut self.ledger);
         let mut steps = Vec::new();
         self.ledger.decide(now, true, &mut steps);
         let follow = steps.iter().any(|step| matches!(step, LedgerAction::RequestList));
--- a/lab/src/scale/wire.rs
+++ b/lab/src/scale/wire.rs
@@ -4,7 +4,7 @@
 //! the same. `hollow_agrees` compares the resulting bytes with those of real daemons.
 
 use onyxrock_duties::{Epoch, Member, Message};
-use onyxrock_sharing::{FromPeers, ListNews, ToPeers};
+use onyxrock_sharing::{FromPeers, ListUpdate, ToPeers};
 use serde::{Deserialize, Serialize};
 
 #[derive(Debug, Serialize, Deserialize)]
@@ -29,12 +29,12 @@
 pub fn encode(message: ToPeers) -> Option<(Audience, Vec<u8>)> {
     let (audience, frame) = match message {
         ToPeers::Duties { to, message } => (Audience::One(to), Frame::Duties(message)),
-        ToPeers::Note { endpoint, news } => (Audience::All, Frame::Note { endpoint, news }),
-        ToPeers::List(ListNews { epoch, from, generation, body }) => {
+        ToPeers::EndpointHint { endpoint, hint: news } => (Audience::All, Frame::Note { endpoint, news }),
+        ToPeers::ListUpdate(ListUpdate { epoch, previous_generation: from, generation, body }) => {
             (Audience::All, Frame::List { epoch, from, generation, body })
         }
-        ToPeers::Lead(epoch) => (Audience::All, Frame::Lead { epoch }),
-        ToPeers::Rekey(_) | ToPeers::Show(_) | ToPeers::Leave(_) => return None,
+        ToPeers::Coordinator(epoch) => (Audience::All, Frame::Lead { epoch }),
+        ToPeers::Rekey(_) | ToPeers::Status(_) | ToPeers::Leave(_) => return None,
     };
     Some((audience, postcard::to_allocvec(&frame).ok()?))
 }
@@ -46,7 +46,7 @@
         Frame::Duties(message) => FromPeers::Duties { from, message },
         Frame::Note { endpoint, news } => FromPeers::Note { endpoint, news },
         Frame::List { epoch, from, generation, body } => {
-            FromPeers::List(ListNews { epoch, from, generation, body })
+            FromPeers::List(ListUpdate { epoch, previous_generation: from, generation, body })
         }
         Frame::Lead { epoch } => FromPeers::Lead { from, epoch },
     })
--- a/membership/src/seal.rs
+++ b/membership/src/authenticator.rs
@@ -51,32 +51,32 @@
 
 /// The key to sign with is not among those given.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct NoKey;
+pub struct MissingSigningKey;
 
 impl Keys {
     /// # Errors
     /// [`NoKey`] where `sign` is none of them.
-    pub fn new(sign: u32, keys: impl IntoIterator<Item = Key>) -> Result<Keys, NoKey> {
+    pub fn new(sign: u32, keys: impl IntoIterator<Item = Key>) -> Result<Keys, MissingSigningKey> {
         let all: BTreeMap<_, _> = keys.into_iter().map(|k| (k.id, k)).collect();
-        if all.contains_key(&sign) { Ok(Keys { sign, all }) } else { Err(NoKey) }
+        if all.contains_key(&sign) { Ok(Keys { sign, all }) } else { Err(MissingSigningKey) }
     }
 
     /// The one that signs.
     #[must_use]
-    pub fn sign(&self) -> u32 {
+    pub fn signing_key_id(&self) -> u32 {
         self.sign
     }
 
     /// So many are believed.
     #[must_use]
-    pub fn believed(&self) -> usize {
+    pub fn accepted_count(&self) -> usize {
         self.all.len()
     }
 }
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub enum Refused {
+pub enum DropReason {
     /// Shorter or longer than any of ours, or of another version.
     Shape,
     /// Signed with a key that is not held.
@@ -145,7 +145,7 @@
 
 /// Signs what one process sends and judges what it is sent.
 #[derive(Debug)]
-pub struct Seal {
+pub struct Authenticator {
     me: Member,
     keys: Keys,
     boot: u64,
@@ -171,10 +171,10 @@
     bytes.get(at..at + 8).and_then(|b| b.try_into().ok()).map_or(0, u64::from_le_bytes)
 }
 
-impl Seal {
+impl Authenticator {
     /// For the member `me` of so many. All chance comes from `entropy`, which no other process may ever have had.
     #[must_use]
-    pub fn new(me: Member, members: u16, keys: Keys, entropy: u64) -> Seal {
+    pub fn new(me: Member, members: u16, keys: Keys, entropy: u64) -> Authenticator {
         let mut dice = StdRng::seed_from_u64(entropy);
         let peer = |dice: &mut StdRng| Peer {
             challenge: dice.random_range(1..=u64::MAX),
@@ -186,7 +186,7 @@
             last: None,
         };
         let peers = (0..members).map(|_| peer(&mut dice)).collect();
-        Seal { me, keys, boot: dice.random(), number: 0, peers, dice }
+        Authenticator { me, keys, boot: dice.random(), number: 0, peers, dice }
     }
 
     /// Other keys from now on. What is on its way under a key that is not among them is lost.
@@ -201,7 +201,7 @@
     }
 
     /// A datagram to a member. None if the body is too long, or the member unknown.
-    pub fn write(&mut self, to: Member, body: Body) -> Option<Vec<u8>> {
+    pub fn sign_datagram(&mut self, to: Member, body: Body) -> Option<Vec<u8>> {
         let (kind, body) = match body {
             Body::Swim(b) => (SWIM, b),
             Body::Payload(b) => (PAYLOAD, b),
@@ -232,22 +232,22 @@
         Some(out)
     }
 
-    fn open<'a>(&self, bytes: &'a [u8]) -> Result<(Head, &'a [u8]), Refused> {
+    fn open<'a>(&self, bytes: &'a [u8]) -> Result<(Head, &'a [u8]), DropReason> {
         if bytes.len() < HEAD + TAG || bytes.len() > DATAGRAM_MOST || bytes[0] != VERSION {
-            return Err(Refused::Shape);
+            return Err(DropReason::Shape);
         }
         let (signed, tag) = bytes.split_at(bytes.len() - TAG);
         let id = u32::from_le_bytes([signed[1], signed[2], signed[3], signed[4]]);
-        let key = self.keys.all.get(&id).ok_or(Refused::UnknownKey)?;
-        let tag: [u8; TAG] = tag.try_into().map_err(|_| Refused::Shape)?;
+        let key = self.keys.all.get(&id).ok_or(DropReason::UnknownKey)?;
+        let tag: [u8; TAG] = tag.try_into().map_err(|_| DropReason::Shape)?;
         // Compared in constant time.
         if blake3::keyed_hash(&key.secret, signed) != blake3::Hash::from_bytes(tag) {
-            return Err(Refused::Forged);
+            return Err(DropReason::Forged);
         }
         let from = Member(u16::from_le_bytes([signed[5], signed[6]]));
         let to = Member(u16::from_le_bytes([signed[7], signed[8]]));
         if to != self.me || from == self.me || usize::from(from.0) >= self.peers.len() {
-            return Err(Refused::Stranger);
+            return Err(DropReason::Stranger);
         }
         let [boot, echo, give, number] = [9, 17, 25, 33].map(|at| num(signed, at));
         Ok((Head { from, boot, echo, give, number, kind: signed[41] }, &signed[HEAD..]))
@@ -257,9 +257,9 @@
     ///
     /// # Errors
     /// [`Refused`] says why it is not believed; nothing is kept of it.
-    pub fn read<'a>(
+    pub fn verify_datagram<'a>(
         &mut self, now: Micros, bytes: &'a [u8], reply: &mut Option<(Member, Vec<u8>)>,
-    ) -> Result<(Member, Body<'a>), Refused> {
+    ) -> Result<(Member, Body<'a>), DropReason> {
         let (head, body) = self.open(bytes)?;
         let own = self.boot;
         let fresh_challenge = self.dice.random_range(1..=u64::MAX);
@@ -268,7 +268,7 @@
             // It answers this very process: one to an earlier life says nothing.
             let old = head.boot == peer.hello.0 && head.number <= peer.hello.1;
             if body.len() != 16 || num(body, 0) != own || old {
-                return Err(Refused::Replayed);
+                return Err(DropReason::Replayed);
             }
             peer.hello = (head.boot, head.number);
             peer.echo = head.give;
@@ -276,7 +276,7 @@
             if let Some((_, kind, body)) = peer.last.take_if(|l| l.0 == num(body, 8)) {
                 *reply = self.frame(head.from, kind, &body).map(|f| (head.from, f));
             }
-            return Err(Refused::Hello);
+            return Err(DropReason::Hello);
         }
         if head.echo != peer.challenge {
             if peer.hello_at <= now {
@@ -284,7 +284,7 @@
                 let answered = [head.boot.to_le_bytes(), head.number.to_le_bytes()].concat();
                 *reply = self.frame(head.from, HELLO, &answered).map(|h| (head.from, h));
             }
-            return Err(Refused::Unproven);
+            return Err(DropReason::Unproven);
         }
         if peer.boot != Some(head.boot) {
             // All that its last life was given is void now: nothing of it can come again.
@@ -300,13 +300,13 @@
         }
         let peer = &mut self.peers[usize::from(head.from.0)];
         if !peer.window.fresh(head.number) {
-            return Err(Refused::Replayed);
+            return Err(DropReason::Replayed);
         }
         peer.echo = head.give;
         match head.kind {
             SWIM => Ok((head.from, Body::Swim(body))),
             PAYLOAD => Ok((head.from, Body::Payload(body))),
-            _ => Err(Refused::Senseless),
+            _ => Err(DropReason::Senseless),
         }
     }
 }
@@ -322,33 +322,33 @@
     fn keys(sign: u32, ids: &[u32]) -> Keys {
         Keys::new(sign, ids.iter().map(|id| Key { id: *id, secret: [*id as u8; 32] })).unwrap()
     }
-    fn pair() -> (Seal, Seal) {
-        (Seal::new(A, 3, keys(1, &[1]), 1), Seal::new(B, 3, keys(1, &[1]), 2))
+    fn pair() -> (Authenticator, Authenticator) {
+        (Authenticator::new(A, 3, keys(1, &[1]), 1), Authenticator::new(B, 3, keys(1, &[1]), 2))
     }
     /// Sends once from one to the other, and hellos back.
-    fn pass(from: &mut Seal, to: &mut Seal, now: Micros) -> (Result<(), Refused>, Vec<u8>) {
-        let d = from.write(to.me, Body::Payload(b"x")).unwrap();
+    fn pass(from: &mut Authenticator, to: &mut Authenticator, now: Micros) -> (Result<(), DropReason>, Vec<u8>) {
+        let d = from.sign_datagram(to.me, Body::Payload(b"x")).unwrap();
         let mut hello = None;
-        let read = to.read(now, &d, &mut hello).map(drop);
+        let read = to.verify_datagram(now, &d, &mut hello).map(drop);
         if let Some((back, h)) = hello {
             assert_eq!(back, from.me);
             let mut again = None;
-            assert_eq!(from.read(now, &h, &mut again).map(drop), Err(Refused::Hello));
+            assert_eq!(from.verify_datagram(now, &h, &mut again).map(drop), Err(DropReason::Hello));
             let Some((_, again)) = again else { return (read, d) };
             let mut none = None;
-            let second = to.read(now, &again, &mut none).map(drop);
+            let second = to.verify_datagram(now, &again, &mut none).map(drop);
             // Another life has another challenge, given at once.
             if let Some((_, given)) = none.take() {
-                assert_eq!(from.read(now, &given, &mut none).map(drop), Err(Refused::Hello));
+                assert_eq!(from.verify_datagram(now, &given, &mut none).map(drop), Err(DropReason::Hello));
             }
             // The hello, replayed, draws nothing more.
-            let _ = from.read(now, &h, &mut none);
+            let _ = from.verify_datagram(now, &h, &mut none);
             assert!(none.is_none());
             return (second, d);
         }
         (read, d)
     }
-    fn greeted() -> (Seal, Seal) {
+    fn greeted() -> (Authenticator, Authenticator) {
         let (mut a, mut b) = pair();
         assert_eq!(pass(&mut a, &mut b, NOW).0, Ok(()), "the first word already");
         assert_eq!(pass(&mut b, &mut a, NOW).0, Ok(()), "the other way is open with it");
@@ -360,37 +360,37 @@
         let (mut a, mut b) = greeted();
         let (read, d) = pass(&mut a, &mut b, NOW);
         assert_eq!(read, Ok(()));
-        assert_eq!(b.read(NOW, &d, &mut None).map(drop), Err(Refused::Replayed));
+        assert_eq!(b.verify_datagram(NOW, &d, &mut None).map(drop), Err(DropReason::Replayed));
         // Late ones and those out of order are, once, if they are not too late.
-        let late: Vec<_> = (0..130).map(|_| a.write(B, Body::Payload(b"x")).unwrap()).collect();
-        assert!(b.read(NOW, &late[129], &mut None).is_ok());
-        assert!(b.read(NOW, &late[3], &mut None).is_ok());
-        assert_eq!(b.read(NOW, &late[3], &mut None).map(drop), Err(Refused::Replayed));
-        assert_eq!(b.read(NOW, &late[0], &mut None).map(drop), Err(Refused::Replayed));
+        let late: Vec<_> = (0..130).map(|_| a.sign_datagram(B, Body::Payload(b"x")).unwrap()).collect();
+        assert!(b.verify_datagram(NOW, &late[129], &mut None).is_ok());
+        assert!(b.verify_datagram(NOW, &late[3], &mut None).is_ok());
+        assert_eq!(b.verify_datagram(NOW, &late[3], &mut None).map(drop), Err(DropReason::Replayed));
+        assert_eq!(b.verify_datagram(NOW, &late[0], &mut None).map(drop), Err(DropReason::Replayed));
     }
 
     #[test]
     fn nothing_of_an_earlier_life_is_believed_by_or_from_one_that_has_restarted() {
         let (mut a, mut b) = greeted();
-        let kept: Vec<_> = (0..3).map(|_| a.write(B, Body::Payload(b"old")).unwrap()).collect();
+        let kept: Vec<_> = (0..3).map(|_| a.sign_datagram(B, Body::Payload(b"old")).unwrap()).collect();
         // The receiver restarts: it has seen no number yet.
-        let mut b2 = Seal::new(B, 3, keys(1, &[1]), 9);
-        assert_eq!(b2.read(NOW, &kept[0], &mut None).map(drop), Err(Refused::Unproven));
+        let mut b2 = Authenticator::new(B, 3, keys(1, &[1]), 9);
+        assert_eq!(b2.verify_datagram(NOW, &kept[0], &mut None).map(drop), Err(DropReason::Unproven));
         // The sender restarts, and proves itself: what its last life had sent and never came is void.
-        let mut a2 = Seal::new(A, 3, keys(1, &[1]), 8);
+        let mut a2 = Authenticator::new(A, 3, keys(1, &[1]), 8);
         let later = NOW.plus(HELLO_GAP);
         assert_eq!(pass(&mut a2, &mut b, later).0, Ok(()));
-        assert_eq!(b.read(later, &kept[1], &mut None).map(drop), Err(Refused::Unproven));
+        assert_eq!(b.verify_datagram(later, &kept[1], &mut None).map(drop), Err(DropReason::Unproven));
         assert_eq!(pass(&mut a2, &mut b, later).0, Ok(()), "and it goes on");
     }
 
     #[test]
     fn hellos_are_bounded_and_answer_members_alone() {
         let (mut a, mut b) = pair();
-        let d = a.write(B, Body::Swim(b"x")).unwrap();
+        let d = a.sign_datagram(B, Body::Swim(b"x")).unwrap();
         let hellos = (0..1000u64).filter(|i| {
             let mut hello = None;
-            let _ = b.read(Micros(i * 1000 + 1_000_000), &d, &mut hello);
+            let _ = b.verify_datagram(Micros(i * 1000 + 1_000_000), &d, &mut hello);
             hello.is_some()
         });
         assert_eq!(hellos.count(), 10, "in a second");
@@ -399,10 +399,10 @@
     #[test]
     fn damage_forgery_and_strangers_are_told_apart() {
         let (mut a, mut b) = greeted();
-        let d = a.write(B, Body::Payload(b"pay")).unwrap();
+        let d = a.sign_datagram(B, Body::Payload(b"pay")).unwrap();
         let mut read = |d: &[u8]| {
             let mut hello = None;
-            let r = b.read(NOW, d, &mut hello).map(drop);
+            let r = b.verify_datagram(NOW, d, &mut hello).map(drop);
             assert!(hello.is_none());
             r
         };
@@ -410,26 +410,26 @@
             let mut bad = d.clone();
             bad[i] ^= 1;
             let why = read(&bad).unwrap_err();
-            assert!(matches!(why, Refused::Forged | Refused::UnknownKey | Refused::Shape), "{i}: {why:?}");
+            assert!(matches!(why, DropReason::Forged | DropReason::UnknownKey | DropReason::Shape), "{i}: {why:?}");
             assert!(read(&d[..i]).is_err());
         }
-        assert_eq!(read(&[d.clone(), vec![0; 1400]].concat()), Err(Refused::Shape));
-        let other = Seal::new(A, 3, keys(1, &[1]), 3).write(Member(2), Body::Swim(b"")).unwrap();
-        assert_eq!(read(&other), Err(Refused::Stranger));
-        let mut nobody = Seal::new(Member(7), 9, keys(1, &[1]), 3);
-        assert_eq!(read(&nobody.write(B, Body::Swim(b"")).unwrap()), Err(Refused::Stranger));
+        assert_eq!(read(&[d.clone(), vec![0; 1400]].concat()), Err(DropReason::Shape));
+        let other = Authenticator::new(A, 3, keys(1, &[1]), 3).sign_datagram(Member(2), Body::Swim(b"")).unwrap();
+        assert_eq!(read(&other), Err(DropReason::Stranger));
+        let mut nobody = Authenticator::new(Member(7), 9, keys(1, &[1]), 3);
+        assert_eq!(read(&nobody.sign_datagram(B, Body::Swim(b"")).unwrap()), Err(DropReason::Stranger));
         let wrong = Keys::new(1, [Key { id: 1, secret: [9; 32] }]).unwrap();
-        let mut wrong = Seal::new(A, 3, wrong, 4);
-        assert_eq!(read(&wrong.write(B, Body::Swim(b"")).unwrap()), Err(Refused::Forged));
+        let mut wrong = Authenticator::new(A, 3, wrong, 4);
+        assert_eq!(read(&wrong.sign_datagram(B, Body::Swim(b"")).unwrap()), Err(DropReason::Forged));
         assert_eq!(read(&d), Ok(()), "nothing of all that changed anything");
-        assert!(a.write(B, Body::Swim(&[0; PAYLOAD_MOST + 1])).is_none());
+        assert!(a.sign_datagram(B, Body::Swim(&[0; PAYLOAD_MOST + 1])).is_none());
     }
 
     /// Keys change one member after the other: first all learn the new one, then all sign with it, then the old goes.
     #[test]
     fn keys_rotate_without_a_datagram_lost() {
         let (mut a, mut b) = greeted();
-        let both = |a: &mut Seal, b: &mut Seal| {
+        let both = |a: &mut Authenticator, b: &mut Authenticator| {
             assert_eq!(pass(a, b, NOW).0, Ok(()));
             assert_eq!(pass(b, a, NOW).0, Ok(()));
         };
@@ -439,8 +439,8 @@
             b.rekey(step);
             both(&mut a, &mut b);
         }
-        let d = a.write(B, Body::Payload(b"x")).unwrap();
+        let d = a.sign_datagram(B, Body::Payload(b"x")).unwrap();
         b.rekey(keys(3, &[3]));
-        assert_eq!(b.read(NOW, &d, &mut None).map(drop), Err(Refused::UnknownKey));
+        assert_eq!(b.verify_datagram(NOW, &d, &mut None).map(drop), Err(DropReason::UnknownKey));
     }
 }
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -37,10 +37,10 @@
 //! assert!(now < Micros(3_000_000));
 //! ```
 
-mod life;
+mod incarnation;
 mod node;
-mod seal;
+mod authenticator;
 
-pub use life::Life;
-pub use node::{Counts, Membership, Output, Settings, Tempo};
-pub use seal::{Body, DATAGRAM_MOST, Key, Keys, NoKey, PAYLOAD_MOST, Refused, Seal};
+pub use incarnation::Life;
+pub use node::{Counts, Membership, Output, MembershipSettings, DetectorTiming};
+pub use authenticator::{Body, DATAGRAM_MOST, Key, Keys, MissingSigningKey, PAYLOAD_MOST, DropReason, Authenticator};
--- a/membership/src/node.rs
+++ b/membership/src/node.rs
@@ -1,6 +1,6 @@
 //! The failure detector over sealed datagrams.
 
-use crate::seal::{Body, Keys, Refused, Seal};
+use crate::authenticator::{Body, Keys, DropReason, Authenticator};
 use crate::{Life, PAYLOAD_MOST};
 use foca::{Foca, NoCustomBroadcast, Notification, PeriodicParams, PostcardCodec, Runtime, Timer};
 use onyxrock::interface::Micros;
@@ -20,32 +20,32 @@
 
 /// How fast members look after each other.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Tempo {
+pub struct DetectorTiming {
     /// Each member probes another one this often.
-    pub period: Micros,
+    pub probe_interval: Micros,
     /// An answer that takes longer is asked for through others. Less than half of the period.
-    pub answer: Micros,
+    pub probe_timeout: Micros,
     /// A member that no probe reaches has so long to contradict.
-    pub suspicion: Micros,
+    pub suspicion_timeout: Micros,
 }
 
-impl Default for Tempo {
-    fn default() -> Tempo {
-        Tempo { period: Micros(500_000), answer: Micros(200_000), suspicion: Micros(1_000_000) }
+impl Default for DetectorTiming {
+    fn default() -> DetectorTiming {
+        DetectorTiming { probe_interval: Micros(500_000), probe_timeout: Micros(200_000), suspicion_timeout: Micros(1_000_000) }
     }
 }
 
 /// What a member starts with.
 #[derive(Clone, Debug)]
-pub struct Settings {
+pub struct MembershipSettings {
     /// This member.
     pub me: Member,
     /// How many there are.
-    pub members: u16,
+    pub member_count: u16,
     /// To sign and to verify with.
     pub keys: Keys,
     /// How fast.
-    pub tempo: Tempo,
+    pub timing: DetectorTiming,
 }
 
 /// Something for the caller.
@@ -79,12 +79,12 @@
     /// Datagrams believed, and their bytes.
     pub believed: (u64, u64),
     /// Datagrams dropped, by reason.
-    pub refused: BTreeMap<Refused, u64>,
+    pub refused: BTreeMap<DropReason, u64>,
 }
 
 struct Ground<'a> {
     now: Micros,
-    seal: &'a mut Seal,
+    seal: &'a mut Authenticator,
     out: &'a mut VecDeque<Output>,
     timers: &'a mut BTreeMap<(Micros, u64), Timer<Life>>,
     serial: &'a mut u64,
@@ -100,7 +100,7 @@
         }
     }
     fn send_to(&mut self, to: Life, data: &[u8]) {
-        if let Some(bytes) = self.seal.write(to.member, Body::Swim(data)) {
+        if let Some(bytes) = self.seal.sign_datagram(to.member, Body::Swim(data)) {
             self.counts.sent.0 += 1;
             self.counts.sent.1 += bytes.len() as u64;
             self.out.push_back(Output::Datagram { to: to.member, bytes });
@@ -118,7 +118,7 @@
     me: Member,
     members: u16,
     foca: Foca<Life, PostcardCodec, StdRng, NoCustomBroadcast>,
-    seal: Seal,
+    seal: Authenticator,
     out: VecDeque<Output>,
     timers: BTreeMap<(Micros, u64), Timer<Life>>,
     serial: u64,
@@ -142,24 +142,24 @@
     Duration::from_micros(m.0)
 }
 
-fn config(members: u16, tempo: Tempo) -> foca::Config {
+fn config(members: u16, tempo: DetectorTiming) -> foca::Config {
     let some = |n| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
     let often = |at, n| Some(PeriodicParams { frequency: duration(at), num_members: some(n) });
     // What is new is passed on to so many that all have it with a probability that no size changes.
     let spread = 3 * (u32::from(members).max(2).ilog2() as u8 + 1);
     foca::Config {
-        probe_period: duration(tempo.period),
-        probe_rtt: duration(tempo.answer),
+        probe_period: duration(tempo.probe_interval),
+        probe_rtt: duration(tempo.probe_timeout),
         num_indirect_probes: some(3),
         max_transmissions: NonZeroU8::new(spread).unwrap_or(NonZeroU8::MIN),
-        suspect_to_down_after: duration(tempo.suspicion),
+        suspect_to_down_after: duration(tempo.suspicion_timeout),
         remove_down_after: Some(Duration::from_secs(20)),
         max_packet_size: some(PAYLOAD_MOST),
         notify_down_members: true,
         periodic_announce: None,
         // `greet` does it, for those too that were never seen.
         periodic_announce_to_down_members: None,
-        periodic_gossip: often(tempo.period, 2),
+        periodic_gossip: often(tempo.probe_interval, 2),
     }
 }
 
@@ -167,9 +167,9 @@
     /// A member that starts now. `life` is the wall clock in microseconds, `entropy` a number from the system's source
     /// of chance.
     #[must_use]
-    pub fn new(settings: Settings, life: u64, entropy: u64, now: Micros) -> Membership {
-        let Settings { me, members, keys, tempo } = settings;
-        let seal = Seal::new(me, members, keys, entropy);
+    pub fn new(settings: MembershipSettings, life: u64, entropy: u64, now: Micros) -> Membership {
+        let MembershipSettings { me, member_count: members, keys, timing: tempo } = settings;
+        let seal = Authenticator::new(me, members, keys, entropy);
         let dice = StdRng::seed_from_u64(entropy ^ 0x9e37_79b9_7f4a_7c15);
         let identity = Life { member: me, number: life };
         Membership {
@@ -200,7 +200,7 @@
 
     /// A number that no other process of any member has.
     #[must_use]
-    pub fn boot(&self) -> u64 {
+    pub fn boot_id(&self) -> u64 {
         self.seal.boot()
     }
 
@@ -277,7 +277,7 @@
 
     /// Sends bytes to another member, which may be lost. False if they are too many.
     pub fn send(&mut self, to: Member, payload: &[u8]) -> bool {
-        let Some(bytes) = self.seal.write(to, Body::Payload(payload)) else { return false };
+        let Some(bytes) = self.seal.sign_datagram(to, Body::Payload(payload)) else { return false };
         self.counts.sent.0 += 1;
         self.counts.sent.1 += bytes.len() as u64;
         self.out.push_back(Output::Datagram { to, bytes });
@@ -288,9 +288,9 @@
     ///
     /// # Errors
     /// [`Refused`]: it was dropped and counted, and cost no state.
-    pub fn receive(&mut self, now: Micros, datagram: &[u8]) -> Result<(), Refused> {
+    pub fn receive(&mut self, now: Micros, datagram: &[u8]) -> Result<(), DropReason> {
         let mut reply = None;
-        let read = self.seal.read(now, datagram, &mut reply);
+        let read = self.seal.verify_datagram(now, datagram, &mut reply);
         if let Some((to, bytes)) = reply {
             self.counts.sent.0 += 1;
             self.counts.sent.1 += bytes.len() as u64;
@@ -307,7 +307,7 @@
                 }
                 match self.act(now, |foca, ground| foca.handle_data(data, ground)) {
                     // Signed by a member, and yet no message: another version of it.
-                    Err(foca::Error::Decode(_) | foca::Error::MalformedPacket) => Err(Refused::Senseless),
+                    Err(foca::Error::Decode(_) | foca::Error::MalformedPacket) => Err(DropReason::Senseless),
                     _ => Ok(()),
                 }
             }
--- a/membership/tests/cluster.rs
+++ b/membership/tests/cluster.rs
@@ -2,7 +2,7 @@
 
 use onyxrock::interface::Micros;
 use onyxrock_duties::Member;
-use onyxrock_membership::{Key, Keys, Membership, Output, Refused, Settings, Tempo};
+use onyxrock_membership::{Key, Keys, Membership, Output, DropReason, MembershipSettings, DetectorTiming};
 use std::collections::{BTreeMap, BTreeSet};
 
 struct Net {
@@ -48,7 +48,7 @@
     }
     fn start(&mut self, m: u16, keys: Keys) {
         let members = self.nodes.len() as u16;
-        let settings = Settings { me: Member(m), members, keys, tempo: Tempo::default() };
+        let settings = MembershipSettings { me: Member(m), member_count: members, keys, timing: DetectorTiming::default() };
         let life = self.now.saturating_add_signed(self.offsets[usize::from(m)]);
         let entropy = self.roll(u64::MAX) << 20 | u64::from(m);
         self.nodes[usize::from(m)] = Some(Membership::new(settings, life, entropy, Micros(self.now)));
@@ -138,7 +138,7 @@
     net.run(10_000_000);
     let four: Vec<_> = (0..4).map(|m| net.node(m).alive().len()).collect();
     assert_eq!((four, net.node(4).alive().len()), (vec![4; 4], 1));
-    assert!(net.node(0).counts().refused[&Refused::Forged] > 0 && net.downs.is_empty());
+    assert!(net.node(0).counts().refused[&DropReason::Forged] > 0 && net.downs.is_empty());
 }
 
 /// One member after the other learns the new key, then signs with it, then forgets the old.
--- a/sharing/src/lib.rs
+++ b/sharing/src/lib.rs
@@ -9,10 +9,10 @@
 //! Whose a duty is, and when one may begin, is `onyxrock-duties`; who is there, `onyxrock-membership`; whether and where
 //! a probe's call goes, the module.
 
-mod letters;
+mod messages;
 mod peers;
-mod probing;
+mod duty_runner;
 
-pub use letters::{FromPeers, LIST_NEWS_MOST, ListNews, Role, ToList, ToPeers};
-pub use peers::{Peers, listen, tempo};
-pub use probing::{Keep, Probing, place};
+pub use messages::{FromPeers, MAX_LIST_UPDATE_BYTES, ListUpdate, ListRole, ToList, ToPeers};
+pub use peers::{Peers, bind_socket, tempo};
+pub use duty_runner::{Keep, DutyRunner, member_by_name};
--- a/sharing/src/letters.rs
+++ b/sharing/src/messages.rs
@@ -14,16 +14,16 @@
         message: Message,
     },
     /// What the module tells of an endpoint, by the name that discovery gives it everywhere; for all.
-    Note {
+    EndpointHint {
         endpoint: String,
-        news: Vec<u8>,
+        hint: Vec<u8>,
     },
     /// For all.
-    List(ListNews),
+    ListUpdate(ListUpdate),
     /// For all: this instance leads the fleet, under this epoch.
-    Lead(Epoch),
+    Coordinator(Epoch),
     Rekey(Keys),
-    Show(Sender<Value>),
+    Status(Sender<Value>),
     /// This instance ends.
     Leave(Sender<()>),
 }
@@ -31,42 +31,42 @@
 /// What it has for the program.
 #[derive(Debug)]
 pub enum FromPeers {
-    View(BTreeSet<Member>),
+    Alive(BTreeSet<Member>),
     Duties { from: Member, message: Message },
     Note { endpoint: String, news: Vec<u8> },
-    List(ListNews),
+    List(ListUpdate),
     Lead { from: Member, epoch: Epoch },
 }
 
 /// What the instance that asks for the list tells the others: it went from one version to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ListNews {
+pub struct ListUpdate {
     /// Of the lease under which it was asked for.
     pub epoch: Epoch,
     /// The version before.
-    pub from: u64,
+    pub previous_generation: u64,
     pub generation: u64,
     /// Discovery's answer; empty where that is too long, or where this is only a sign of life.
     pub body: Vec<u8>,
 }
 
 /// A longer answer is not passed on: the others ask for themselves.
-pub const LIST_NEWS_MOST: usize = 1200;
+pub const MAX_LIST_UPDATE_BYTES: usize = 1200;
 
 /// Who asks discovery for the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Role {
+pub enum ListRole {
     /// This instance, for itself.
-    Alone,
+    Standalone,
     /// This instance, under this lease, and it tells the others.
     Owner(Epoch),
     /// Another, which tells this one.
-    Told,
+    Follower,
 }
 
 /// For the actor that has the list.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ToList {
-    Role(Role),
-    Told(ListNews),
+    Role(ListRole),
+    Told(ListUpdate),
 }
--- a/sharing/src/peers.rs
+++ b/sharing/src/peers.rs
@@ -1,13 +1,13 @@
 //! The other instances, over UDP: one actor that has the socket and the membership.
 
-use crate::letters::{FromPeers, ListNews, ToPeers};
+use crate::messages::{FromPeers, ListUpdate, ToPeers};
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::future;
 use onyxrock::interface::Micros;
 use onyxrock_config::duties::{Duties, Member as Named};
 use onyxrock_duties::{Epoch, Member, Message};
-use onyxrock_membership::{Membership, Output, Refused};
+use onyxrock_membership::{Membership, Output, DropReason};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use std::net::UdpSocket;
@@ -42,19 +42,19 @@
 }
 
 /// Listens where the settings say.
-pub fn listen(d: &Duties) -> Result<Async<UdpSocket>, String> {
+pub fn bind_socket(d: &Duties) -> Result<Async<UdpSocket>, String> {
     Async::<UdpSocket>::bind(d.listen).map_err(|e| format!("cannot listen on {} for members: {e}", d.listen))
 }
 
 /// The actor. `M` is what the program's mailbox holds, `N` tells its time.
 pub struct Peers<M, N> {
     pub now: N,
-    pub out: Sender<M>,
+    pub outbox: Sender<M>,
     pub socket: Async<UdpSocket>,
     pub membership: Membership,
     pub members: Vec<Named>,
     /// Datagrams that the socket did not take.
-    pub lost: u64,
+    pub send_failures: u64,
 }
 
 impl<M: From<FromPeers>, N: Fn() -> Micros> Peers<M, N> {
@@ -90,7 +90,7 @@
                         let Ok((n, from)) = self.socket.get_ref().recv_from(&mut bytes) else { break };
                         let now = (self.now)();
                         if let Err(why) = self.membership.receive(now, &bytes[..n])
-                            && !matches!(why, Refused::Unproven | Refused::Hello)
+                            && !matches!(why, DropReason::Unproven | DropReason::Hello)
                         {
                             tracing::debug!(peer = %from, "members: a datagram is dropped: {why:?}");
                         }
@@ -103,16 +103,16 @@
     fn take(&mut self, letter: ToPeers) {
         match letter {
             ToPeers::Duties { to, message } => drop(self.say(to, &Word::Duties(message))),
-            ToPeers::Note { endpoint, news } if endpoint.len() <= NAME_MOST => {
+            ToPeers::EndpointHint { endpoint, hint: news } if endpoint.len() <= NAME_MOST => {
                 self.say_all(&Word::Note { endpoint, news });
             }
-            ToPeers::List(ListNews { epoch, from, generation, body }) => {
+            ToPeers::ListUpdate(ListUpdate { epoch, previous_generation: from, generation, body }) => {
                 self.say_all(&Word::List { epoch, from, generation, body });
             }
-            ToPeers::Lead(epoch) => self.say_all(&Word::Lead { epoch }),
-            ToPeers::Note { .. } | ToPeers::Leave(_) => {}
+            ToPeers::Coordinator(epoch) => self.say_all(&Word::Lead { epoch }),
+            ToPeers::EndpointHint { .. } | ToPeers::Leave(_) => {}
             ToPeers::Rekey(keys) => self.membership.rekey(keys),
-            ToPeers::Show(reply) => drop(reply.try_send(self.json())),
+            ToPeers::Status(reply) => drop(reply.try_send(self.json())),
         }
     }
 
@@ -136,7 +136,7 @@
                     let Some(m) = self.members.get(usize::from(to.0)) else { continue };
                     // It is not waited for: a full buffer loses a datagram, as any network may.
                     if self.socket.get_ref().send_to(&bytes, m.address).is_err() {
-                        self.lost += 1;
+                        self.send_failures += 1;
                     }
                     continue;
                 }
@@ -144,7 +144,7 @@
                     Ok(Word::Duties(message)) => FromPeers::Duties { from, message },
                     Ok(Word::Note { endpoint, news }) => FromPeers::Note { endpoint, news },
                     Ok(Word::List { epoch, from, generation, body }) => {
-                        FromPeers::List(ListNews { epoch, from, generation, body })
+                        FromPeers::List(ListUpdate { epoch, previous_generation: from, generation, body })
                     }
                     Ok(Word::Lead { epoch }) => FromPeers::Lead { from, epoch },
                     Err(e) => {
@@ -163,11 +163,11 @@
                     continue;
                 }
             };
-            if self.out.send(news.into()).await.is_err() {
+            if self.outbox.send(news.into()).await.is_err() {
                 return false;
             }
         }
-        !seen || self.out.send(FromPeers::View(self.membership.alive()).into()).await.is_ok()
+        !seen || self.outbox.send(FromPeers::Alive(self.membership.alive()).into()).await.is_ok()
     }
 
     fn name(&self, m: Member) -> &str {
@@ -183,12 +183,12 @@
         let pair = |p: (u64, u64)| json!({"datagrams": p.0, "bytes": p.1});
         json!({"me": self.name(self.membership.me()),
             "members": self.members.iter().enumerate().map(one).collect::<Vec<_>>(),
-            "sent": pair(c.sent), "lost": self.lost, "believed": pair(c.believed), "refused": refused})
+            "sent": pair(c.sent), "lost": self.send_failures, "believed": pair(c.believed), "refused": refused})
     }
 }
 
 /// Times of the failure detector, for leases of this length: a death is seen before the lease of the dead runs out.
-pub fn tempo(lease: Micros) -> onyxrock_membership::Tempo {
+pub fn tempo(lease: Micros) -> onyxrock_membership::DetectorTiming {
     let period = Micros((lease.0 / 6).clamp(100_000, 1_000_000));
-    onyxrock_membership::Tempo { period, answer: Micros(period.0 * 2 / 5), suspicion: Micros(period.0 * 2) }
+    onyxrock_membership::DetectorTiming { probe_interval: period, probe_timeout: Micros(period.0 * 2 / 5), suspicion_timeout: Micros(period.0 * 2) }
 }
