--- a/daemon/src/core_actor/calls.rs
+++ b/daemon/src/core_actor/calls.rs
@@ -50,7 +50,7 @@
             frontend_note: String::new(),
             body: Vec::new(),
             started: now,
-            timeout: patience.min(probing.patience()),
+            timeout: patience.min(probing.probe_timeout()),
             probe_path: Some(probing.probe_path.clone()),
             cancellation: None,
         });
--- a/daemon/src/list/fetch.rs
+++ b/daemon/src/list/fetch.rs
@@ -7,7 +7,7 @@
 use onyxrock::interface::Micros;
 use onyxrock_config::list::Reader;
 use onyxrock_roster::{Refused, Staged};
-use onyxrock_sharing::{MAX_LIST_UPDATE_BYTES, ListRole};
+use onyxrock_sharing::{ListRole, MAX_LIST_UPDATE_BYTES};
 use std::net::SocketAddr;
 
 /// A list as it was read.
--- a/daemon/src/list/follow.rs
+++ b/daemon/src/list/follow.rs
@@ -11,7 +11,7 @@
 use onyxrock::interface::Micros;
 use onyxrock_config::list;
 use onyxrock_roster::Staged;
-use onyxrock_sharing::{ListUpdate, ListRole, ToList, ToPeers};
+use onyxrock_sharing::{ListRole, ListUpdate, ToList, ToPeers};
 use std::rc::Rc;
 
 /// An answer that comes sooner was not waited for.
@@ -152,7 +152,8 @@
     }
 
     async fn call(&mut self, asked: Micros) -> Result<Fetched, Failed> {
-        let stands_by = self.role == ListRole::Follower && self.discovery.generation.is_some() && !self.behind;
+        let stands_by =
+            self.role == ListRole::Follower && self.discovery.generation.is_some() && !self.behind;
         if stands_by {
             return future::pending().await;
         }
@@ -196,7 +197,7 @@
                 self.role = role;
                 return Ok(Next::Call);
             }
-            ToList::Told(news) => news,
+            ToList::Update(news) => news,
         };
         let held = self.discovery.generation;
         if self.role != ListRole::Follower || held == Some(news.generation) {
@@ -232,7 +233,8 @@
         let at_once = self.answered_at.since(asked) < ANSWERED_AT_ONCE && waited;
         if let (ListRole::Owner(epoch), Some(peers)) = (self.role, &self.shared.peers) {
             let from = self.discovery.generation.unwrap_or(list.generation);
-            let news = ListUpdate { epoch, previous_generation: from, generation: list.generation, body: list.text };
+            let news =
+                ListUpdate { epoch, previous_generation: from, generation: list.generation, body: list.text };
             let _ = peers.try_send(ToPeers::ListUpdate(news));
         }
         self.discovery.generation = Some(list.generation);
--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -25,7 +25,7 @@
 use onyxrock_config::product::Product;
 use onyxrock_membership::Membership;
 use onyxrock_roster::{Directory, Rules, Terms};
-use onyxrock_sharing::{Peers, DutyRunner, ToPeers, bind_socket, member_by_name, tempo};
+use onyxrock_sharing::{DutyRunner, Peers, ToPeers, bind_socket, detector_timing, member_by_name};
 use rustix::net::sockopt::{set_socket_reuseaddr, set_socket_reuseport};
 use rustix::net::{AddressFamily, SocketFlags, SocketType, bind, listen as listen_at, socket_with};
 use std::cell::Cell;
@@ -166,7 +166,7 @@
             me,
             member_count: u16::try_from(d.members.len()).map_err(|_| "[duties]: too many members")?,
             keys: d.keys.clone(),
-            timing: tempo(d.lease),
+            timing: detector_timing(d.lease),
         };
         let membership = Membership::new(setup, now.0, u64::from_le_bytes(entropy), now);
         let boot = membership.boot_id();
@@ -181,7 +181,8 @@
         let at = socket.get_ref().local_addr().map_err(|e| e.to_string())?;
         tracing::info!("listens on {at} for members");
         let (clock, out, members) = (shared.clock, to_module.clone(), d.members.clone());
-        let peers = Peers { now: move || clock.now(), outbox: out, socket, membership, members, send_failures: 0 };
+        let peers =
+            Peers { now: move || clock.now(), outbox: out, socket, membership, members, send_failures: 0 };
         executor.spawn(peers.run(peers_inbox)).detach();
     }
     // A zone of our own is later than what discovery last told.
@@ -340,7 +341,11 @@
 fn reload_product(shared: &SharedState, ours: &Product, new: &Product) {
     if let (Some(peers), Some(d)) = (&shared.peers, &new.duties) {
         let _ = peers.try_send(ToPeers::Rekey(d.keys.clone()));
-        tracing::info!("reload: members sign with key {}, {} are believed", d.keys.signing_key_id(), d.keys.accepted_count());
+        tracing::info!(
+            "reload: members sign with key {}, {} are believed",
+            d.keys.signing_key_id(),
+            d.keys.accepted_count()
+        );
     }
     let differs = match (&ours.duties, &new.duties) {
         (Some(ours), Some(new)) => ours.differs(new),
--- a/duties/src/duty_table.rs
+++ b/duties/src/duty_table.rs
@@ -1,6 +1,8 @@
 //! The duties of one instance: which are wanted, whose each should be, and the leases for its own.
 
-use crate::{BootId, DUTIES_MOST, Duty, Epoch, Holder, Member, StoredBound, Message, NotNow, LeaseTerms, Voter, rank};
+use crate::{
+    BootId, DUTIES_MOST, Duty, Epoch, Holder, LeaseTerms, Member, Message, NotNow, StoredBound, Voter, rank,
+};
 use onyxrock::interface::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -73,7 +75,8 @@
     /// process of this member has, `memory` what [`Book::to_keep`] asked an earlier one to make last.
     #[must_use]
     pub fn new(
-        me: Member, members: u16, voters: u16, terms: LeaseTerms, boot: BootId, now: Micros, memory: StoredBound,
+        me: Member, members: u16, voters: u16, terms: LeaseTerms, boot: BootId, now: Micros,
+        memory: StoredBound,
     ) -> DutyTable {
         let voters = voters.clamp(1, members.max(1));
         DutyTable {
--- a/duties/src/holder.rs
+++ b/duties/src/holder.rs
@@ -1,6 +1,6 @@
 //! The side that holds leases and does the duties.
 
-use crate::{BootId, Duty, Epoch, Member, Message, LeaseTerms};
+use crate::{BootId, Duty, Epoch, LeaseTerms, Member, Message};
 use onyxrock::interface::Micros;
 use std::collections::BTreeMap;
 
@@ -246,7 +246,8 @@
     use super::*;
     use crate::DutyKind;
 
-    const TERMS: LeaseTerms = LeaseTerms { duration: Micros(40), min_interval: Micros(10), run_timeout: Micros(5) };
+    const TERMS: LeaseTerms =
+        LeaseTerms { duration: Micros(40), min_interval: Micros(10), run_timeout: Micros(5) };
     const DUTY: Duty = Duty { kind: DutyKind::Probe, target: 1 };
 
     fn answer(holder: &mut Holder, now: u64, from: u16, sent: u64) -> bool {
--- a/duties/src/voter.rs
+++ b/duties/src/voter.rs
@@ -1,6 +1,6 @@
 //! The side that promises.
 
-use crate::{BootId, Duty, Epoch, Member, Message, LeaseTerms};
+use crate::{BootId, Duty, Epoch, LeaseTerms, Member, Message};
 use onyxrock::interface::Micros;
 use std::collections::BTreeMap;
 
@@ -203,7 +203,8 @@
     use super::*;
     use crate::DutyKind;
 
-    const TERMS: LeaseTerms = LeaseTerms { duration: Micros(40), min_interval: Micros(10), run_timeout: Micros(5) };
+    const TERMS: LeaseTerms =
+        LeaseTerms { duration: Micros(40), min_interval: Micros(10), run_timeout: Micros(5) };
     const DUTY: Duty = Duty { kind: DutyKind::Coordinator, target: 0 };
 
     fn ask(v: &mut Voter, now: u64, from: u16, epoch: Epoch) -> Result<Epoch, Epoch> {
--- a/duties/tests/cluster.rs
+++ b/duties/tests/cluster.rs
@@ -2,11 +2,14 @@
 //! the one-at-a-time hold in any case, and when all is well again one of them does each duty within a bound.
 
 use onyxrock::interface::Micros;
-use onyxrock_duties::{DutyTable, Duty, Epoch, DutyKind, Member, StoredBound, Message, NotNow, Output, LeaseTerms};
+use onyxrock_duties::{
+    Duty, DutyKind, DutyTable, Epoch, LeaseTerms, Member, Message, NotNow, Output, StoredBound,
+};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-const TERMS: LeaseTerms = LeaseTerms { duration: Micros(1_200_000), min_interval: Micros(400_000), run_timeout: Micros(500_000) };
+const TERMS: LeaseTerms =
+    LeaseTerms { duration: Micros(1_200_000), min_interval: Micros(400_000), run_timeout: Micros(500_000) };
 const STEP: u64 = 20_000;
 
 /// What happens to whom.
--- a/duties/tests/model.rs
+++ b/duties/tests/model.rs
@@ -6,7 +6,7 @@
 //! questions and restarts, see each test.
 
 use onyxrock::interface::Micros;
-use onyxrock_duties::{Duty, Epoch, Holder, DutyKind, Member, StoredBound, Message, LeaseTerms, Voter};
+use onyxrock_duties::{Duty, DutyKind, Epoch, Holder, LeaseTerms, Member, Message, StoredBound, Voter};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
@@ -211,7 +211,8 @@
             }
             Step::Restart(n) => {
                 next.restarts += 1;
-                let since = if self.waits_out { now } else { Micros(START - self.terms.promise_duration().0) };
+                let since =
+                    if self.waits_out { now } else { Micros(START - self.terms.promise_duration().0) };
                 let boot = if self.new_boot { 2 + u64::from(s.restarts) } else { 1 };
                 let asks = s.nodes[usize::from(n)].asks;
                 // What it kept is above all that it has promised; its epochs then, too.
--- a/lab/src/experiments/slopes/engine.rs
+++ b/lab/src/experiments/slopes/engine.rs
@@ -12,7 +12,7 @@
 use onyxrock::interface::*;
 use onyxrock::{PolicyEngine, interface::Settings};
 use onyxrock_daemon::wal::Wal;
-use onyxrock_duties::LeaseTerms as LeaseTerms;
+use onyxrock_duties::LeaseTerms;
 use onyxrock_roster::{Directory, Follows};
 use std::path::Path;
 
@@ -23,8 +23,11 @@
 const DISK_BYTES: u64 = 8 << 30;
 /// How often the engine is looked through for what is doubted, as `sharing::Probing` does: at each renewal of leases of
 /// the settings' default length.
-pub const LEASE: LeaseTerms =
-    LeaseTerms { duration: Micros(3_000_000), min_interval: Micros(1_100_000), run_timeout: Micros(1_000_000) };
+pub const LEASE: LeaseTerms = LeaseTerms {
+    duration: Micros(3_000_000),
+    min_interval: Micros(1_100_000),
+    run_timeout: Micros(1_000_000),
+};
 /// Senders of one destination. Memory does not depend on it; with thousands the pace of each lets no second call go
 /// within the time in which a destination is proven warm.
 const SENDERS: u32 = 4;
--- a/lab/src/experiments/slopes/leases.rs
+++ b/lab/src/experiments/slopes/leases.rs
@@ -8,7 +8,7 @@
 use crate::capacity::cost::Cost;
 use crate::capacity::fit::Point;
 use onyxrock::interface::Micros;
-use onyxrock_duties::{DutyTable, Duty, DutyKind, Member, StoredBound, Message, Output};
+use onyxrock_duties::{Duty, DutyKind, DutyTable, Member, Message, Output, StoredBound};
 use onyxrock_membership::Authenticator;
 use std::collections::VecDeque;
 
@@ -50,7 +50,8 @@
     /// `peers` are the members that it can send to: the first so many.
     fn new(me: u16, members: u16, voters: u16, peers: u16) -> Node {
         let boot = boot_of(me);
-        let mut book = DutyTable::new(Member(me), members, voters, LEASE, boot, Micros(0), StoredBound::Known(0));
+        let mut book =
+            DutyTable::new(Member(me), members, voters, LEASE, boot, Micros(0), StoredBound::Known(0));
         book.set_alive(Micros(0), [Member(me)].into());
         Node { book, seal: Authenticator::new(Member(me), peers, keys(), boot) }
     }
--- a/lab/src/experiments/slopes/members.rs
+++ b/lab/src/experiments/slopes/members.rs
@@ -7,7 +7,7 @@
 use crate::capacity::fit::Point;
 use onyxrock::interface::Micros;
 use onyxrock_duties::Member;
-use onyxrock_membership::{Membership, Output, MembershipSettings, DetectorTiming};
+use onyxrock_membership::{DetectorTiming, Membership, MembershipSettings, Output};
 use std::collections::BTreeMap;
 
 /// Groups that are run whole. The memory of a group grows with its square, so the largest is an eighth of the two-year
@@ -41,7 +41,8 @@
         let now = Micros(1_000_000);
         let node = |m: u16| {
             let tempo = DetectorTiming::default();
-            let settings = MembershipSettings { me: Member(m), member_count: members + 1, keys: keys(), timing: tempo };
+            let settings =
+                MembershipSettings { me: Member(m), member_count: members + 1, keys: keys(), timing: tempo };
             Membership::new(settings, 1_000_000 + u64::from(m), seed << 16 | u64::from(m), now)
         };
         let nodes = (0..members).map(node).collect();
@@ -134,8 +135,12 @@
 pub fn told(plan: &Plan) -> Result<Vec<(Cost, Vec<Point>)>, String> {
     let (mut cpu, mut bytes) = (Vec::new(), Vec::new());
     for n in plan.sizes(plan.size.forwarders) {
-        let settings =
-            MembershipSettings { me: Member(0), member_count: n as u16 + 1, keys: keys(), timing: DetectorTiming::default() };
+        let settings = MembershipSettings {
+            me: Member(0),
+            member_count: n as u16 + 1,
+            keys: keys(),
+            timing: DetectorTiming::default(),
+        };
         let mut node = Membership::new(settings, 1_000_000, plan.seed, Micros(1_000_000));
         let mut wire = Loop::new()?;
         let us = least_of(plan.repeats, || {
--- a/lab/src/experiments/slopes/wire.rs
+++ b/lab/src/experiments/slopes/wire.rs
@@ -5,7 +5,7 @@
 use onyxrock::interface::EntryState;
 use onyxrock_daemon::list::roster_endpoint;
 use onyxrock_duties::{Member, Message};
-use onyxrock_membership::{Body, Key, Keys, DropReason, Authenticator};
+use onyxrock_membership::{Authenticator, Body, DropReason, Key, Keys};
 use onyxrock_roster::Endpoint;
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
--- a/lab/src/scale/follower.rs
+++ b/lab/src/scale/follower.rs
@@ -4,7 +4,7 @@
 use onyxrock::interface::Micros;
 use onyxrock_config::list::{self, List};
 use onyxrock_duties::{Epoch, Member};
-use onyxrock_sharing::{MAX_LIST_UPDATE_BYTES, ListUpdate, ListRole, ToList};
+use onyxrock_sharing::{ListRole, ListUpdate, MAX_LIST_UPDATE_BYTES, ToList};
 
 /// What a call may take beyond the wait that it asks for, as in the daemon.
 const GRACE: Micros = Micros(1_500_000);
@@ -137,9 +137,9 @@
         }
         match message {
             ToList::Role(role) => self.role = role,
-            ToList::Told(_) if self.role != ListRole::Follower => {}
-            ToList::Told(news) if self.generation == Some(news.generation) => {}
-            ToList::Told(news) => {
+            ToList::Update(_) if self.role != ListRole::Follower => {}
+            ToList::Update(news) if self.generation == Some(news.generation) => {}
+            ToList::Update(news) => {
                 let follows = self.generation == Some(news.previous_generation) && !news.body.is_empty();
                 let list = follows.then(|| list::parse(&news.body, names).ok()).flatten();
                 match list.filter(|list| list.generation == news.generation) {
--- a/lab/src/scale/forwarder.rs
+++ b/lab/src/scale/forwarder.rs
@@ -11,9 +11,9 @@
 use onyxrock_config::duties::Duties;
 use onyxrock_config::list::{List, Listed};
 use onyxrock_duties::{Epoch, Member, StoredBound};
-use onyxrock_membership::{Membership, Output, MembershipSettings as MembershipSettings};
+use onyxrock_membership::{Membership, MembershipSettings, Output};
 use onyxrock_roster::{Directory, Endpoint, Follows, Rules, Terms};
-use onyxrock_sharing::{FromPeers, DutyRunner, ListRole, ToList, ToPeers, tempo};
+use onyxrock_sharing::{DutyRunner, FromPeers, ListRole, ToList, ToPeers, detector_timing};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -150,8 +150,12 @@
         let duties = &setup.duties;
         let members = duties.members.len() as u16;
         let entropy = setup.seed ^ (u64::from(member.0) << 40) ^ life;
-        let seen =
-            MembershipSettings { me: member, member_count: members, keys: duties.keys.clone(), timing: tempo(duties.lease) };
+        let seen = MembershipSettings {
+            me: member,
+            member_count: members,
+            keys: duties.keys.clone(),
+            timing: detector_timing(duties.lease),
+        };
         let membership = Membership::new(seen, now.0 + life, entropy, now);
         let mut settings = settings(members, member);
         let hold_back = Micros(duties.lease.0 * 3);
--- a/lab/src/scale/wire.rs
+++ b/lab/src/scale/wire.rs
@@ -44,10 +44,10 @@
 pub fn decode(from: Member, payload: &[u8]) -> Option<FromPeers> {
     Some(match postcard::from_bytes(payload).ok()? {
         Frame::Duties(message) => FromPeers::Duties { from, message },
-        Frame::Note { endpoint, news } => FromPeers::Note { endpoint, news },
+        Frame::Note { endpoint, news } => FromPeers::EndpointHint { endpoint, hint: news },
         Frame::List { epoch, from, generation, body } => {
-            FromPeers::List(ListUpdate { epoch, previous_generation: from, generation, body })
+            FromPeers::ListUpdate(ListUpdate { epoch, previous_generation: from, generation, body })
         }
-        Frame::Lead { epoch } => FromPeers::Lead { from, epoch },
+        Frame::Lead { epoch } => FromPeers::Coordinator { from, epoch },
     })
 }
--- a/membership/src/authenticator.rs
+++ b/membership/src/authenticator.rs
@@ -326,7 +326,9 @@
         (Authenticator::new(A, 3, keys(1, &[1]), 1), Authenticator::new(B, 3, keys(1, &[1]), 2))
     }
     /// Sends once from one to the other, and hellos back.
-    fn pass(from: &mut Authenticator, to: &mut Authenticator, now: Micros) -> (Result<(), DropReason>, Vec<u8>) {
+    fn pass(
+        from: &mut Authenticator, to: &mut Authenticator, now: Micros,
+    ) -> (Result<(), DropReason>, Vec<u8>) {
         let d = from.sign_datagram(to.me, Body::Payload(b"x")).unwrap();
         let mut hello = None;
         let read = to.verify_datagram(now, &d, &mut hello).map(drop);
@@ -410,11 +412,15 @@
             let mut bad = d.clone();
             bad[i] ^= 1;
             let why = read(&bad).unwrap_err();
-            assert!(matches!(why, DropReason::Forged | DropReason::UnknownKey | DropReason::Shape), "{i}: {why:?}");
+            assert!(
+                matches!(why, DropReason::Forged | DropReason::UnknownKey | DropReason::Shape),
+                "{i}: {why:?}"
+            );
             assert!(read(&d[..i]).is_err());
         }
         assert_eq!(read(&[d.clone(), vec![0; 1400]].concat()), Err(DropReason::Shape));
-        let other = Authenticator::new(A, 3, keys(1, &[1]), 3).sign_datagram(Member(2), Body::Swim(b"")).unwrap();
+        let other =
+            Authenticator::new(A, 3, keys(1, &[1]), 3).sign_datagram(Member(2), Body::Swim(b"")).unwrap();
         assert_eq!(read(&other), Err(DropReason::Stranger));
         let mut nobody = Authenticator::new(Member(7), 9, keys(1, &[1]), 3);
         assert_eq!(read(&nobody.sign_datagram(B, Body::Swim(b"")).unwrap()), Err(DropReason::Stranger));
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -37,10 +37,12 @@
 //! assert!(now < Micros(3_000_000));
 //! ```
 
+mod authenticator;
 mod incarnation;
 mod node;
-mod authenticator;
 
+pub use authenticator::{
+    Authenticator, Body, DATAGRAM_MOST, DropReason, Key, Keys, MissingSigningKey, PAYLOAD_MOST,
+};
 pub use incarnation::Life;
-pub use node::{Counts, Membership, Output, MembershipSettings, DetectorTiming};
-pub use authenticator::{Body, DATAGRAM_MOST, Key, Keys, MissingSigningKey, PAYLOAD_MOST, DropReason, Authenticator};
+pub use node::{Counts, DetectorTiming, Membership, MembershipSettings, Output};
--- a/membership/src/node.rs
+++ b/membership/src/node.rs
@@ -1,6 +1,6 @@
 //! The failure detector over sealed datagrams.
 
-use crate::authenticator::{Body, Keys, DropReason, Authenticator};
+use crate::authenticator::{Authenticator, Body, DropReason, Keys};
 use crate::{Life, PAYLOAD_MOST};
 use foca::{Foca, NoCustomBroadcast, Notification, PeriodicParams, PostcardCodec, Runtime, Timer};
 use onyxrock::interface::Micros;
@@ -31,7 +31,11 @@
 
 impl Default for DetectorTiming {
     fn default() -> DetectorTiming {
-        DetectorTiming { probe_interval: Micros(500_000), probe_timeout: Micros(200_000), suspicion_timeout: Micros(1_000_000) }
+        DetectorTiming {
+            probe_interval: Micros(500_000),
+            probe_timeout: Micros(200_000),
+            suspicion_timeout: Micros(1_000_000),
+        }
     }
 }
 
--- a/membership/tests/cluster.rs
+++ b/membership/tests/cluster.rs
@@ -2,7 +2,7 @@
 
 use onyxrock::interface::Micros;
 use onyxrock_duties::Member;
-use onyxrock_membership::{Key, Keys, Membership, Output, DropReason, MembershipSettings, DetectorTiming};
+use onyxrock_membership::{DetectorTiming, DropReason, Key, Keys, Membership, MembershipSettings, Output};
 use std::collections::{BTreeMap, BTreeSet};
 
 struct Net {
@@ -48,7 +48,12 @@
     }
     fn start(&mut self, m: u16, keys: Keys) {
         let members = self.nodes.len() as u16;
-        let settings = MembershipSettings { me: Member(m), member_count: members, keys, timing: DetectorTiming::default() };
+        let settings = MembershipSettings {
+            me: Member(m),
+            member_count: members,
+            keys,
+            timing: DetectorTiming::default(),
+        };
         let life = self.now.saturating_add_signed(self.offsets[usize::from(m)]);
         let entropy = self.roll(u64::MAX) << 20 | u64::from(m);
         self.nodes[usize::from(m)] = Some(Membership::new(settings, life, entropy, Micros(self.now)));
--- a/sharing/src/duty_runner.rs
+++ b/sharing/src/duty_runner.rs
@@ -4,12 +4,12 @@
 //! handed to the module as a message without content; when its call is about to be written the lease is asked for the
 //! last time, by the clock of that moment.
 
-use crate::messages::{FromPeers, ListUpdate, ListRole, ToList, ToPeers};
+use crate::messages::{FromPeers, ListRole, ListUpdate, ToList, ToPeers};
 use async_channel::Sender;
 use onyxrock::core::Ledger;
 use onyxrock::interface::{ClassId, DestinationId, Micros};
 use onyxrock_config::duties::{Duties, Member as Named};
-use onyxrock_duties::{DutyTable, Duty, Epoch, Fence, DutyKind, Member, StoredBound, Output, LeaseTerms};
+use onyxrock_duties::{Duty, DutyKind, DutyTable, Epoch, Fence, LeaseTerms, Member, Output, StoredBound};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -87,7 +87,8 @@
         let path = d.probe.path.as_str().into();
         let (members, probes) = (d.members.clone(), BTreeMap::new());
         let share = d.list && !alone;
-        let list = share.then_some(ListDuty { to: list, role: ListRole::Standalone, heard: None, generation: None });
+        let list =
+            share.then_some(ListDuty { to: list, role: ListRole::Standalone, heard: None, generation: None });
         let leads = d.coordinator && !alone;
         let (kept, leader, fence) = (0, None, Fence::default());
         let mut new = DutyRunner {
@@ -166,18 +167,18 @@
                 self.make_last();
                 self.send(out);
             }
-            FromPeers::Note { .. } => {}
-            FromPeers::Lead { from, epoch } => {
+            FromPeers::EndpointHint { .. } => {}
+            FromPeers::Coordinator { from, epoch } => {
                 if self.admit(LEAD, epoch) {
                     self.leader = Some((from, epoch));
                 }
             }
             // Who asked for it under a lease that was over tells of a list that is over, too.
-            FromPeers::List(news) if !self.admit(LIST, news.epoch) => {}
-            FromPeers::List(news) => {
+            FromPeers::ListUpdate(news) if !self.admit(LIST, news.epoch) => {}
+            FromPeers::ListUpdate(news) => {
                 if let Some(l) = &mut self.list {
                     l.heard = Some(now);
-                    let _ = l.to.try_send(ToList::Told(news));
+                    let _ = l.to.try_send(ToList::Update(news));
                 }
             }
         }
@@ -281,7 +282,7 @@
     }
 
     /// How long a probe's call may take.
-    pub fn patience(&self) -> Micros {
+    pub fn probe_timeout(&self) -> Micros {
         self.book.terms().run_timeout
     }
 
@@ -417,8 +418,8 @@
         let mut r = rig(3);
         assert_eq!(r.run(2000).1, [], "it asks for itself from the start");
         let news = ListUpdate { epoch: 4, previous_generation: 7, generation: 8, body: Vec::new() };
-        r.probing.receive(r.now, FromPeers::List(news.clone()));
-        assert_eq!(r.run(1000).1, [ToList::Told(news), ToList::Role(ListRole::Follower)]);
+        r.probing.receive(r.now, FromPeers::ListUpdate(news.clone()));
+        assert_eq!(r.run(1000).1, [ToList::Update(news), ToList::Role(ListRole::Follower)]);
         assert_eq!(r.run(1000).1, [ToList::Role(ListRole::Standalone)]);
     }
 
@@ -426,13 +427,14 @@
     #[test]
     fn news_under_a_lease_that_is_over_is_refused_and_counted() {
         let mut r = rig(3);
-        let news = |epoch, generation| ListUpdate { epoch, previous_generation: 7, generation, body: Vec::new() };
-        r.probing.receive(r.now, FromPeers::List(news(4, 8)));
-        r.probing.receive(r.now, FromPeers::List(news(3, 5)));
-        r.probing.receive(r.now, FromPeers::Lead { from: Member(1), epoch: 9 });
-        r.probing.receive(r.now, FromPeers::Lead { from: Member(2), epoch: 8 });
+        let news =
+            |epoch, generation| ListUpdate { epoch, previous_generation: 7, generation, body: Vec::new() };
+        r.probing.receive(r.now, FromPeers::ListUpdate(news(4, 8)));
+        r.probing.receive(r.now, FromPeers::ListUpdate(news(3, 5)));
+        r.probing.receive(r.now, FromPeers::Coordinator { from: Member(1), epoch: 9 });
+        r.probing.receive(r.now, FromPeers::Coordinator { from: Member(2), epoch: 8 });
         let told: Vec<_> = std::iter::from_fn(|| r.list.try_recv().ok()).collect();
-        assert_eq!(told, [ToList::Told(news(4, 8))]);
+        assert_eq!(told, [ToList::Update(news(4, 8))]);
         assert_eq!((r.probing.fence_refusals(), r.probing.coordinator_epoch()), (2, 9));
     }
 
@@ -442,7 +444,7 @@
         let mut r = rig_after(1, 5);
         r.run(4000);
         assert_eq!(r.probing.coordinator_epoch(), 6);
-        r.probing.receive(r.now, FromPeers::Lead { from: Member(2), epoch: 5 });
+        r.probing.receive(r.now, FromPeers::Coordinator { from: Member(2), epoch: 5 });
         assert_eq!((r.probing.coordinator_epoch(), r.probing.fence_refusals()), (6, 1));
         assert_eq!(r.probing.status_json(r.now)["coordinator"], "n0");
     }
--- a/sharing/src/lib.rs
+++ b/sharing/src/lib.rs
@@ -9,10 +9,10 @@
 //! Whose a duty is, and when one may begin, is `onyxrock-duties`; who is there, `onyxrock-membership`; whether and where
 //! a probe's call goes, the module.
 
+mod duty_runner;
 mod messages;
 mod peers;
-mod duty_runner;
 
-pub use messages::{FromPeers, MAX_LIST_UPDATE_BYTES, ListUpdate, ListRole, ToList, ToPeers};
-pub use peers::{Peers, bind_socket, tempo};
-pub use duty_runner::{Keep, DutyRunner, member_by_name};
+pub use duty_runner::{DutyRunner, Keep, member_by_name};
+pub use messages::{FromPeers, ListRole, ListUpdate, MAX_LIST_UPDATE_BYTES, ToList, ToPeers};
+pub use peers::{Peers, bind_socket, detector_timing};
--- a/sharing/src/messages.rs
+++ b/sharing/src/messages.rs
@@ -33,9 +33,9 @@
 pub enum FromPeers {
     Alive(BTreeSet<Member>),
     Duties { from: Member, message: Message },
-    Note { endpoint: String, news: Vec<u8> },
-    List(ListUpdate),
-    Lead { from: Member, epoch: Epoch },
+    EndpointHint { endpoint: String, hint: Vec<u8> },
+    ListUpdate(ListUpdate),
+    Coordinator { from: Member, epoch: Epoch },
 }
 
 /// What the instance that asks for the list tells the others: it went from one version to another.
@@ -68,5 +68,5 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum ToList {
     Role(ListRole),
-    Told(ListUpdate),
+    Update(ListUpdate),
 }
--- a/sharing/src/peers.rs
+++ b/sharing/src/peers.rs
@@ -7,7 +7,7 @@
 use onyxrock::interface::Micros;
 use onyxrock_config::duties::{Duties, Member as Named};
 use onyxrock_duties::{Epoch, Member, Message};
-use onyxrock_membership::{Membership, Output, DropReason};
+use onyxrock_membership::{DropReason, Membership, Output};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use std::net::UdpSocket;
@@ -142,11 +142,14 @@
                 }
                 Output::Payload { from, bytes } => match postcard::from_bytes(&bytes) {
                     Ok(Word::Duties(message)) => FromPeers::Duties { from, message },
-                    Ok(Word::Note { endpoint, news }) => FromPeers::Note { endpoint, news },
-                    Ok(Word::List { epoch, from, generation, body }) => {
-                        FromPeers::List(ListUpdate { epoch, previous_generation: from, generation, body })
-                    }
-                    Ok(Word::Lead { epoch }) => FromPeers::Lead { from, epoch },
+                    Ok(Word::Note { endpoint, news }) => FromPeers::EndpointHint { endpoint, hint: news },
+                    Ok(Word::List { epoch, from, generation, body }) => FromPeers::ListUpdate(ListUpdate {
+                        epoch,
+                        previous_generation: from,
+                        generation,
+                        body,
+                    }),
+                    Ok(Word::Lead { epoch }) => FromPeers::Coordinator { from, epoch },
                     Err(e) => {
                         tracing::warn!(member = %self.name(from), "members: a message that cannot be read: {e}");
                         continue;
@@ -188,7 +191,11 @@
 }
 
 /// Times of the failure detector, for leases of this length: a death is seen before the lease of the dead runs out.
-pub fn tempo(lease: Micros) -> onyxrock_membership::DetectorTiming {
+pub fn detector_timing(lease: Micros) -> onyxrock_membership::DetectorTiming {
     let period = Micros((lease.0 / 6).clamp(100_000, 1_000_000));
-    onyxrock_membership::DetectorTiming { probe_interval: period, probe_timeout: Micros(period.0 * 2 / 5), suspicion_timeout: Micros(period.0 * 2) }
+    onyxrock_membership::DetectorTiming {
+        probe_interval: period,
+        probe_timeout: Micros(period.0 * 2 / 5),
+        suspicion_timeout: Micros(period.0 * 2),
+    }
 }
