--- a/duties/src/lib.rs
+++ b/duties/src/lib.rs
@@ -104,6 +104,7 @@
     /// What is done.
     pub kind: DutyKind,
     /// To whom: the number of a destination.
+    #[serde(rename = "of")]
     pub target: u64,
 }
 
--- a/duties/src/message.rs
+++ b/duties/src/message.rs
@@ -12,6 +12,7 @@
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 pub enum Message {
     /// To a voter: a lease is wanted, or wanted for longer.
+    #[serde(rename = "Ask")]
     LeaseRequest {
         /// Which life of the sender asks.
         boot: BootId,
@@ -21,6 +22,7 @@
         duties: Vec<(Duty, Epoch)>,
     },
     /// The voter's answer.
+    #[serde(rename = "Answer")]
     LeaseResponse {
         /// Which life had asked.
         boot: BootId,
@@ -41,11 +43,13 @@
         duties: Vec<Duty>,
     },
     /// To the other voters, from one that has lost what it kept: which epochs may have been handed out?
+    #[serde(rename = "Recall")]
     EpochQuery {
         /// Which life of the sender asks.
         boot: BootId,
     },
     /// The answer.
+    #[serde(rename = "Bound")]
     EpochBound {
         /// Which life had asked.
         boot: BootId,
