--- a/config/src/changes.rs
+++ b/config/src/changes.rs
@@ -18,7 +18,7 @@
 
 /// The configuration without what a later file may leave out.
 #[must_use]
-pub fn lasting(config: &Value) -> Value {
+pub fn without_optional_keys(config: &Value) -> Value {
     let mut lasting = config.clone();
     if let Some(object) = lasting.as_object_mut() {
         MAY_BE_LEFT_OUT.iter().for_each(|key| drop(object.remove(*key)));
--- a/config/src/daemon.rs
+++ b/config/src/daemon.rs
@@ -14,19 +14,19 @@
     /// Where operators call, if anywhere.
     pub mgmt: Option<SocketAddr>,
     pub discovery: SocketAddr,
-    pub state: PathBuf,
+    pub state_folder: PathBuf,
     pub seed: u64,
-    pub sockets: usize,
-    pub disk_bytes: u64,
+    pub max_sockets: usize,
+    pub max_disk_bytes: u64,
     pub connect_timeout: Micros,
     pub settings: Settings,
     /// Lists are pushed: what is known where they come from counts as told here, whatever has been asked.
-    pub pushed: bool,
+    pub lists_pushed: bool,
     pub names: NameIndex,
     /// The list as this forwarder last had it.
-    pub known: Option<list::List>,
+    pub cached_list: Option<list::EndpointList>,
     /// The file, but for what a later one may leave out: that has to hold all that is here.
-    pub file: Value,
+    pub required_values: Value,
 }
 
 impl Config {
@@ -34,13 +34,13 @@
     ///
     /// # Errors
     /// One line that names the key that it lacks, or that is wrong.
-    pub fn check_next(&self, next: &Config) -> Result<(), String> {
-        changes::check(&self.file, &next.file)
+    pub fn check_reload(&self, next: &Config) -> Result<(), String> {
+        changes::check(&self.required_values, &next.required_values)
     }
 
     /// What another reading of the file says otherwise and only a new start can take over.
-    pub fn differs(&self, new: &Config) -> Vec<&'static str> {
-        let limits = |c: &Config| (c.sockets, c.disk_bytes);
+    pub fn restart_only_differences(&self, new: &Config) -> Vec<&'static str> {
+        let limits = |c: &Config| (c.max_sockets, c.max_disk_bytes);
         let all = [
             ("name", self.name != new.name),
             ("listen", self.listen != new.listen),
@@ -72,25 +72,25 @@
     /// The system does not let the file be read, which may pass.
     Unreadable(String),
     /// What it says is wrong.
-    Wrong(String),
+    Invalid(String),
 }
 
 impl From<String> for ReadError {
     fn from(why: String) -> ReadError {
-        ReadError::Wrong(why)
+        ReadError::Invalid(why)
     }
 }
 
 impl From<&str> for ReadError {
     fn from(why: &str) -> ReadError {
-        ReadError::Wrong(why.to_owned())
+        ReadError::Invalid(why.to_owned())
     }
 }
 
 impl From<ReadError> for String {
     fn from(error: ReadError) -> String {
         match error {
-            ReadError::Unreadable(why) | ReadError::Wrong(why) => why,
+            ReadError::Unreadable(why) | ReadError::Invalid(why) => why,
         }
     }
 }
@@ -139,15 +139,15 @@
             Some(t) => parse("discovery", t.to_owned())?,
             None => parse("discovery", text("GW_DISCOVERY", "discovery")?)?,
         },
-        state: PathBuf::from(var("GW_STATE").ok_or("no $GW_STATE, the folder that lasts")?),
+        state_folder: PathBuf::from(var("GW_STATE").ok_or("no $GW_STATE, the folder that lasts")?),
         seed: seed.unwrap_or(0),
-        sockets: limit("/limits/sockets", 1024.0) as usize,
-        disk_bytes: (limit("/limits/disk_mb", 3.0) * 1e6) as u64,
+        max_sockets: limit("/limits/sockets", 1024.0) as usize,
+        max_disk_bytes: (limit("/limits/disk_mb", 3.0) * 1e6) as u64,
         connect_timeout: settings::connect_timeout(setup).map_err(|e| format!("{shown}: {e}"))?,
         settings,
-        pushed,
+        lists_pushed: pushed,
         names,
-        known,
-        file: changes::lasting(&v),
+        cached_list: known,
+        required_values: changes::without_optional_keys(&v),
     })
 }
--- a/config/src/dns.rs
+++ b/config/src/dns.rs
@@ -1,18 +1,18 @@
 //! `[dns]`: the list out of a zone file, where it is not at discovery.
 
-use crate::product::Wrong;
+use crate::product::InvalidValue;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
 use toml::Spanned;
 
 #[derive(Clone, Debug)]
-pub struct Dns {
+pub struct DnsSettings {
     /// Where dynamic updates come to.
     pub listen: SocketAddr,
     pub origin: String,
     /// The text of the zone file.
-    pub zone: String,
+    pub zone_text: String,
 }
 
 #[derive(Deserialize)]
@@ -25,14 +25,14 @@
 
 impl Raw {
     /// Reads the zone file, which stands beside the settings.
-    pub(crate) fn check(self, path: &Path) -> Result<Dns, Wrong> {
+    pub(crate) fn check(self, path: &Path) -> Result<DnsSettings, InvalidValue> {
         // Updates carry no signature that is looked at: only this machine may send them.
         if !self.listen.get_ref().ip().is_loopback() {
-            return Err(Wrong::new(&self.listen, "not an address of this machine alone"));
+            return Err(InvalidValue::new(&self.listen, "not an address of this machine alone"));
         }
         let file = path.parent().unwrap_or(Path::new("")).join(self.zone.get_ref());
         let zone = std::fs::read_to_string(&file)
-            .map_err(|e| Wrong::new(&self.zone, format!("cannot read {}: {e}", file.display())))?;
-        Ok(Dns { listen: self.listen.into_inner(), origin: self.origin, zone })
+            .map_err(|e| InvalidValue::new(&self.zone, format!("cannot read {}: {e}", file.display())))?;
+        Ok(DnsSettings { listen: self.listen.into_inner(), origin: self.origin, zone_text: zone })
     }
 }
--- a/config/src/duties.rs
+++ b/config/src/duties.rs
@@ -1,6 +1,6 @@
 //! `[duties]`: which instances share their periodic duties, and how.
 
-use crate::product::{Seconds, Wrong};
+use crate::product::{InvalidValue, Seconds};
 use onyxrock::interface::Micros;
 use onyxrock_membership::{Key, Keys, MissingSigningKey};
 use serde::{Deserialize, Deserializer, de};
@@ -13,48 +13,48 @@
 const NAME_MOST: usize = 64;
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Duties {
+pub struct DutySettings {
     /// Where other members' datagrams come to (UDP).
     pub listen: SocketAddr,
     /// Every member, this one included, in the same order at all of them.
-    pub members: Vec<Member>,
+    pub members: Vec<NamedMember>,
     /// The first so many of them decide who holds a lease.
-    pub voters: usize,
+    pub voter_count: usize,
     /// How long a lease holds without renewal.
-    pub lease: Micros,
-    pub probe: Probe,
+    pub lease_duration: Micros,
+    pub probe: ProbeSettings,
     /// One instance asks for the list and tells the others.
-    pub list: bool,
+    pub share_list: bool,
     /// One instance at a time leads the fleet.
-    pub coordinator: bool,
+    pub elect_coordinator: bool,
     /// Keys that a datagram may be signed with, and the one that this instance signs with.
     pub keys: Keys,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Member {
+pub struct NamedMember {
     pub name: String,
     pub address: SocketAddr,
 }
 
 /// How a partner that is doubted or returning is probed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Probe {
+pub struct ProbeSettings {
     /// Probes a second at one partner, from all instances together.
     pub per_s: f64,
     /// How long a probe waits for its answer.
-    pub patience: Micros,
+    pub timeout: Micros,
     /// What is asked for.
     pub path: String,
     /// Each instance probes on its own account, with no leases: for comparison.
-    pub alone: bool,
+    pub without_leases: bool,
 }
 
-impl Duties {
+impl DutySettings {
     /// What another reading of the file says otherwise and only a new start can take over: all but the keys.
     #[must_use]
-    pub fn differs(&self, new: &Duties) -> bool {
-        *self != Duties { keys: self.keys.clone(), ..new.clone() }
+    pub fn requires_restart(&self, new: &DutySettings) -> bool {
+        *self != DutySettings { keys: self.keys.clone(), ..new.clone() }
     }
 }
 
@@ -146,54 +146,59 @@
 impl Raw {
     /// `at` is where the section stands; `members` reads those that a service of the zone in `[dns]` names.
     pub(crate) fn check(
-        self, at: Range<usize>, members_of: impl Fn(&str) -> Option<Result<Vec<Member>, String>>,
-    ) -> Result<Duties, Wrong> {
+        self, at: Range<usize>, members_of: impl Fn(&str) -> Option<Result<Vec<NamedMember>, String>>,
+    ) -> Result<DutySettings, InvalidValue> {
         let mut members = Vec::new();
         let mut seen = BTreeSet::new();
         for m in self.member {
             let name = m.name.get_ref();
             if name.is_empty() || name.len() > NAME_MOST || !name.bytes().all(|b| b.is_ascii_graphic()) {
-                return Err(Wrong::new(&m.name, "must be 1 to 64 printable characters"));
+                return Err(InvalidValue::new(&m.name, "must be 1 to 64 printable characters"));
             }
             if !seen.insert(name.clone()) {
-                return Err(Wrong::new(&m.name, format!("\"{name}\" stands here twice")));
+                return Err(InvalidValue::new(&m.name, format!("\"{name}\" stands here twice")));
             }
-            members.push(Member { name: name.clone(), address: m.address });
+            members.push(NamedMember { name: name.clone(), address: m.address });
         }
         if let Some(from) = &self.members_from {
             let found = members_of(from.get_ref());
-            let found = found.ok_or_else(|| Wrong::new(from, "needs [dns], whose zone names the members"))?;
-            let found = found.map_err(|e| Wrong::new(from, e))?;
+            let found =
+                found.ok_or_else(|| InvalidValue::new(from, "needs [dns], whose zone names the members"))?;
+            let found = found.map_err(|e| InvalidValue::new(from, e))?;
             members.extend(found.into_iter().filter(|m| seen.insert(m.name.clone())));
         }
         if members.is_empty() {
-            return Err(Wrong { at, what: "no [[duties.member]] and no members_from".into() });
+            return Err(InvalidValue {
+                span: at,
+                message: "no [[duties.member]] and no members_from".into(),
+            });
         }
         let voters = self.voters.as_ref().map_or(members.len().min(VOTERS), |v| *v.get_ref() as usize);
         if let Some(given) = &self.voters {
             if voters == 0 {
-                return Err(Wrong::new(given, "must be 1 at least"));
+                return Err(InvalidValue::new(given, "must be 1 at least"));
             }
             // A majority of those that are named could not be made of those that there are.
             if voters > members.len() {
-                return Err(Wrong::new(given, format!("there are only {} members", members.len())));
+                return Err(InvalidValue::new(given, format!("there are only {} members", members.len())));
             }
         }
         let mut seen = BTreeSet::new();
         if let Some(k) = self.key.iter().find(|k| !seen.insert(*k.id.get_ref())) {
-            return Err(Wrong::new(&k.id, format!("key {} stands here twice", k.id.get_ref())));
+            return Err(InvalidValue::new(&k.id, format!("key {} stands here twice", k.id.get_ref())));
         }
         let keys = self.key.into_iter().map(|k| Key { id: k.id.into_inner(), secret: k.secret.0 });
         let keys = Keys::new(*self.sign.get_ref(), keys);
-        let keys =
-            keys.map_err(|NoKey| Wrong::new(&self.sign, format!("there is no key {}", self.sign.get_ref())))?;
+        let keys = keys.map_err(|NoKey| {
+            InvalidValue::new(&self.sign, format!("there is no key {}", self.sign.get_ref()))
+        })?;
         let lease = self.lease_s.as_ref().map_or(LEASE, |l| *l.get_ref());
         let patience = self.probe.patience_s.as_ref().map_or(PATIENCE, |p| *p.get_ref());
         // A probe starts only where its whole patience fits into the lease that is left.
         if patience.0 >= Micros(lease.0.0 / 2) {
             let at = self.lease_s.or(self.probe.patience_s).map_or(at, |s| s.span());
             let what = "lease_s must be over twice the probe's patience_s".into();
-            return Err(Wrong { at, what });
+            return Err(InvalidValue { span: at, message: what });
         }
         let path = self.probe.path.as_ref().map_or(PATH, |p| p.get_ref());
         if let Some(p) = self
@@ -202,21 +207,21 @@
             .as_ref()
             .filter(|_| !path.starts_with('/') || !path.bytes().all(|b| b.is_ascii_graphic()))
         {
-            return Err(Wrong::new(p, "must begin with / and hold no spaces"));
+            return Err(InvalidValue::new(p, "must begin with / and hold no spaces"));
         }
-        Ok(Duties {
+        Ok(DutySettings {
             listen: self.listen,
-            voters,
+            voter_count: voters,
             members,
-            lease: lease.0,
-            probe: Probe {
+            lease_duration: lease.0,
+            probe: ProbeSettings {
                 per_s: self.probe.per_s.0,
-                patience: patience.0,
+                timeout: patience.0,
                 path: path.to_owned(),
-                alone: self.probe.alone,
+                without_leases: self.probe.alone,
             },
-            list: self.list,
-            coordinator: self.coordinator,
+            share_list: self.list,
+            elect_coordinator: self.coordinator,
             keys,
         })
     }
@@ -232,11 +237,11 @@
         \"00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff\"\n";
     const MEMBER: &str = "[[duties.member]]\nname = \"n1\"\naddress = \"127.0.0.1:1\"\n";
 
-    fn nobody(_: &crate::dns::Dns, _: &str) -> Result<Vec<super::Member>, String> {
+    fn nobody(_: &crate::dns::DnsSettings, _: &str) -> Result<Vec<super::NamedMember>, String> {
         Ok(Vec::new())
     }
 
-    fn read(head: &str, rest: &str) -> Result<super::Duties, String> {
+    fn read(head: &str, rest: &str) -> Result<super::DutySettings, String> {
         let text = format!("[duties]\nlisten = \"127.0.0.1:0\"\nsign = 1\n{head}{MEMBER}{rest}{KEY}");
         parse(&text, Path::new("p.toml"), &NameIndex::default(), &nobody).map(|p| p.duties.unwrap())
     }
@@ -244,7 +249,7 @@
     #[test]
     fn what_is_not_said_has_a_default() {
         let d = read("", "").unwrap();
-        assert_eq!((d.voters, d.lease.0, d.probe.per_s), (1, 3_000_000, 1.0));
+        assert_eq!((d.voter_count, d.lease_duration.0, d.probe.per_s), (1, 3_000_000, 1.0));
         assert_eq!(format!("{:?}", d.keys), "Keys { sign: 1, all: {1: Key(1)} }", "a secret is never shown");
     }
 
--- a/config/src/idle.rs
+++ b/config/src/idle.rs
@@ -1,6 +1,6 @@
 //! Our own file's `[list]` and `[idle]`: how long a list may be, and what becomes of destinations that nobody uses.
 
-use crate::product::{Seconds, Wrong};
+use crate::product::{InvalidValue, Seconds};
 use onyxrock::interface::Micros;
 use serde::Deserialize;
 use toml::Spanned;
@@ -8,27 +8,27 @@
 /// Bounds of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Bounds {
+pub struct ListLimits {
     /// Endpoints that are held, 1 to 10,000,000. A longer list is refused as a whole.
-    pub entries: Count<10_000_000>,
+    pub entries: BoundedCount<10_000_000>,
     /// Megabytes that a list may take while it is read, 1 to 4,096.
-    pub memory_mb: Count<4096>,
+    pub memory_mb: BoundedCount<4096>,
 }
 
-impl Default for Bounds {
-    fn default() -> Bounds {
-        Bounds { entries: Count(100_000), memory_mb: Count(16) }
+impl Default for ListLimits {
+    fn default() -> ListLimits {
+        ListLimits { entries: BoundedCount(100_000), memory_mb: BoundedCount(16) }
     }
 }
 
 /// A whole number from 1 to `MOST`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Count<const MOST: u32>(pub u32);
+pub struct BoundedCount<const MOST: u32>(pub u32);
 
-impl<'de, const MOST: u32> Deserialize<'de> for Count<MOST> {
+impl<'de, const MOST: u32> Deserialize<'de> for BoundedCount<MOST> {
     fn deserialize<D: serde::Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
         match i64::deserialize(d)? {
-            n if (1..=i64::from(MOST)).contains(&n) => Ok(Count(n as u32)),
+            n if (1..=i64::from(MOST)).contains(&n) => Ok(BoundedCount(n as u32)),
             n => Err(serde::de::Error::custom(format!("{n} is not from 1 to {MOST}"))),
         }
     }
@@ -71,17 +71,17 @@
 
 /// Destinations go to rest and are woken with care. Without it what was used once stays awake.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Idle {
+pub struct IdleSettings {
     /// Unused so long, a destination goes to rest.
-    pub rest: Micros,
+    pub deactivate_after: Micros,
     /// A rate served so long ago is worth half.
     pub half_life: Micros,
     /// After so long nothing of it is worth anything.
-    pub forget: Micros,
+    pub forget_after: Micros,
     /// Calls a second, from all instances together, that a woken destination takes where nothing says it.
     pub assumed_per_s: f64,
     /// Bytes that the file of what is remembered may take, and as many while a new one is written; 0: there is none.
-    pub keep: u64,
+    pub max_snapshot_bytes: u64,
 }
 
 /// Outcomes come late, and a connection is let go before its endpoint is.
@@ -90,25 +90,31 @@
 const KEEP_MOST_KB: u64 = 65_536;
 
 impl Raw {
-    pub fn check(self) -> Result<Idle, Wrong> {
+    pub fn check(self) -> Result<IdleSettings, InvalidValue> {
         let (rest, half_life, forget) =
             (self.rest_s.get_ref().0, self.half_life_s.get_ref().0, self.forget_s.get_ref().0);
         if rest < REST_LEAST {
-            return Err(Wrong::new(&self.rest_s, "less than a second"));
+            return Err(InvalidValue::new(&self.rest_s, "less than a second"));
         }
         if forget < half_life {
             // At least one of the two was written.
             let written = if self.forget_s.span().is_empty() { &self.half_life_s } else { &self.forget_s };
-            return Err(Wrong::new(written, "forget_s is less than half_life_s"));
+            return Err(InvalidValue::new(written, "forget_s is less than half_life_s"));
         }
         let assumed_per_s = *self.assumed_per_s.get_ref();
         if !(0.01..=1e6).contains(&assumed_per_s) {
-            return Err(Wrong::new(&self.assumed_per_s, "not from 0.01 to 1000000"));
+            return Err(InvalidValue::new(&self.assumed_per_s, "not from 0.01 to 1000000"));
         }
         let keep = *self.keep_kb.get_ref();
         if keep > KEEP_MOST_KB {
-            return Err(Wrong::new(&self.keep_kb, format!("more than {KEEP_MOST_KB}")));
+            return Err(InvalidValue::new(&self.keep_kb, format!("more than {KEEP_MOST_KB}")));
         }
-        Ok(Idle { rest, half_life, forget, assumed_per_s, keep: keep * 1024 })
+        Ok(IdleSettings {
+            deactivate_after: rest,
+            half_life,
+            forget_after: forget,
+            assumed_per_s,
+            max_snapshot_bytes: keep * 1024,
+        })
     }
 }
--- a/config/src/list.rs
+++ b/config/src/list.rs
@@ -9,7 +9,7 @@
 
 /// One endpoint as the list states it.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListedEndpoint {
     pub name: String,
     pub address: SocketAddr,
     pub zone: String,
@@ -19,10 +19,10 @@
 
 /// A whole list or the entries that changed.
 #[derive(Clone, Debug, Default)]
-pub struct List {
+pub struct EndpointList {
     pub generation: u64,
-    pub whole: bool,
-    pub entries: Vec<Listed>,
+    pub complete: bool,
+    pub entries: Vec<ListedEndpoint>,
 }
 
 #[derive(Deserialize)]
@@ -54,17 +54,17 @@
 
 /// Reads a list. An entry that cannot be read fails it as a whole: a list with holes would look like endpoints
 /// that are gone.
-pub fn read(v: &Value, names: &NameIndex) -> Result<List, String> {
+pub fn read(v: &Value, names: &NameIndex) -> Result<EndpointList, String> {
     parse(v.to_string().as_bytes(), names)
 }
 
 /// The same, of its text.
-pub fn parse(text: &[u8], names: &NameIndex) -> Result<List, String> {
+pub fn parse(text: &[u8], names: &NameIndex) -> Result<EndpointList, String> {
     collect(std::iter::once(text), names)
 }
 
-fn collect<'t>(pieces: impl Iterator<Item = &'t [u8]>, names: &NameIndex) -> Result<List, String> {
-    let mut reader = Reader::new(names);
+fn collect<'t>(pieces: impl Iterator<Item = &'t [u8]>, names: &NameIndex) -> Result<EndpointList, String> {
+    let mut reader = ListReader::new(names);
     let mut entries = Vec::new();
     for piece in pieces {
         reader.feed(piece, |e| {
@@ -72,11 +72,11 @@
             Ok::<_, String>(())
         })?;
     }
-    let (generation, whole) = reader.end()?;
-    Ok(List { generation, whole, entries })
+    let (generation, whole) = reader.finish()?;
+    Ok(EndpointList { generation, complete: whole, entries })
 }
 
-fn listed(bytes: &[u8], names: &NameIndex) -> Result<Listed, String> {
+fn listed(bytes: &[u8], names: &NameIndex) -> Result<ListedEndpoint, String> {
     let i: Instance = serde_json::from_slice(bytes).map_err(|e| format!("list: an entry: {e}"))?;
     let place = |map: &std::collections::BTreeMap<String, usize>, name: &str| {
         map.get(name).copied().unwrap_or(usize::MAX)
@@ -88,7 +88,7 @@
         "Gone" => EntryState::Gone,
         other => return Err(format!("list: unknown lifecycle {other:?}")),
     };
-    Ok(Listed {
+    Ok(ListedEndpoint {
         address: i.address.parse().map_err(|e| format!("list: hostPort {:?}: {e}", i.address))?,
         zone: zone.to_owned(),
         entry: ListEntry {
@@ -123,7 +123,7 @@
 
 /// Reads a list of any length in the pieces in which it comes, and holds one entry at a time. It finds where entries
 /// begin and end; what they and the head say is read by `serde_json`.
-pub struct Reader<'n> {
+pub struct ListReader<'n> {
     names: &'n NameIndex,
     at: At,
     depth: u32,
@@ -134,15 +134,15 @@
     entry: Vec<u8>,
 }
 
-impl<'n> Reader<'n> {
-    pub fn new(names: &'n NameIndex) -> Reader<'n> {
+impl<'n> ListReader<'n> {
+    pub fn new(names: &'n NameIndex) -> ListReader<'n> {
         let (at, depth, text, escaped, seen) = (At::Head, 0, false, false, false);
-        Reader { names, at, depth, text, escaped, seen, head: Vec::new(), entry: Vec::new() }
+        ListReader { names, at, depth, text, escaped, seen, head: Vec::new(), entry: Vec::new() }
     }
 
     /// Takes the next piece, and gives each entry that ends in it.
     pub fn feed<E: From<String>>(
-        &mut self, bytes: &[u8], mut each: impl FnMut(Listed) -> Result<(), E>,
+        &mut self, bytes: &[u8], mut each: impl FnMut(ListedEndpoint) -> Result<(), E>,
     ) -> Result<(), E> {
         for b in bytes {
             let in_text = self.text;
@@ -202,7 +202,7 @@
     }
 
     /// The list has ended: its version, and whether it was a whole one.
-    pub fn end(self) -> Result<(u64, bool), String> {
+    pub fn finish(self) -> Result<(u64, bool), String> {
         if self.at != At::Head {
             return Err("list: it ends among its entries".into());
         }
@@ -237,7 +237,7 @@
          "lifecycle": "Ready", "weight": 1.5, "extra": [{"x": []}]} ,
         {"instanceId": "b", "hostPort": "[::1]:8", "lifecycle": "Gone", "zone": null} ], "generation": 41 }"#;
 
-    fn read_in(pieces: impl Iterator<Item = Vec<u8>>) -> Result<List, String> {
+    fn read_in(pieces: impl Iterator<Item = Vec<u8>>) -> Result<EndpointList, String> {
         let pieces: Vec<_> = pieces.collect();
         collect(pieces.iter().map(Vec::as_slice), &NameIndex::default())
     }
@@ -250,11 +250,11 @@
             assert_eq!(format!("{:?}", read_in(pieces).unwrap()), whole, "{size}");
         }
         let l = read_in([LIST.as_bytes().to_vec()].into_iter()).unwrap();
-        assert_eq!((l.generation, l.whole, l.entries.len()), (41, false, 2));
+        assert_eq!((l.generation, l.complete, l.entries.len()), (41, false, 2));
         assert_eq!((l.entries[0].name.as_str(), l.entries[0].entry.weight), ("a\"}]\\", 1.5));
         assert_eq!((l.entries[1].entry.state, l.entries[1].zone.as_str()), (EntryState::Gone, ""));
         let empty = read_in([br#"{"generation":1,"instances":[]}"#.to_vec()].into_iter()).unwrap();
-        assert!(empty.whole && empty.entries.is_empty());
+        assert!(empty.complete && empty.entries.is_empty());
     }
 
     /// A list with a hole would look like endpoints that are gone.
--- a/config/src/product.rs
+++ b/config/src/product.rs
@@ -3,7 +3,7 @@
 //! Every section is optional and everything in it is off while it is absent. Unknown keys are refused. An error is one
 //! line, `FILE:LINE: KEY: what is wrong`, and nothing of a file with an error is used.
 
-use crate::duties::{self, Duties};
+use crate::duties::{self, DutySettings};
 use crate::{dns, idle, smpp};
 use onyxrock::core::NameIndex;
 use onyxrock::interface::Micros;
@@ -14,13 +14,13 @@
 
 /// What the file holds, checked.
 #[derive(Clone, Debug, Default)]
-pub struct Product {
+pub struct ProductSettings {
     pub log: Log,
-    pub smpp: Option<smpp::Smpp>,
-    pub dns: Option<dns::Dns>,
-    pub duties: Option<Duties>,
-    pub list: idle::Bounds,
-    pub idle: Option<idle::Idle>,
+    pub smpp: Option<smpp::SmppSettings>,
+    pub dns: Option<dns::DnsSettings>,
+    pub duties: Option<DutySettings>,
+    pub list: idle::ListLimits,
+    pub idle: Option<idle::IdleSettings>,
 }
 
 /// How the log is written.
@@ -95,14 +95,14 @@
 
 /// Something wrong with a value that its type alone does not show, and where the value stands.
 #[derive(Debug)]
-pub struct Wrong {
-    pub at: Range<usize>,
-    pub what: String,
+pub struct InvalidValue {
+    pub span: Range<usize>,
+    pub message: String,
 }
 
-impl Wrong {
-    pub fn new<T>(value: &Spanned<T>, what: impl Into<String>) -> Wrong {
-        Wrong { at: value.span(), what: what.into() }
+impl InvalidValue {
+    pub fn new<T>(value: &Spanned<T>, what: impl Into<String>) -> InvalidValue {
+        InvalidValue { span: value.span(), message: what.into() }
     }
 }
 
@@ -115,21 +115,23 @@
     dns: Option<dns::Raw>,
     duties: Option<Spanned<duties::Raw>>,
     #[serde(default)]
-    list: idle::Bounds,
+    list: idle::ListLimits,
     idle: Option<idle::Raw>,
 }
 
 /// Reads the members that a service of the zone names.
-pub type Zones<'a> = &'a dyn Fn(&dns::Dns, &str) -> Result<Vec<duties::Member>, String>;
+pub type MemberLookup<'a> = &'a dyn Fn(&dns::DnsSettings, &str) -> Result<Vec<duties::NamedMember>, String>;
 
 /// Reads the file. Names of classes, tenants, kinds and zones must be those of the platform's settings.
-pub fn read(path: &Path, names: &NameIndex, zones: Zones) -> Result<Product, String> {
+pub fn read(path: &Path, names: &NameIndex, zones: MemberLookup) -> Result<ProductSettings, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
     parse(&text, path, names, zones)
 }
 
 /// Reads the text of a file; other files that it names stand beside it.
-pub fn parse(text: &str, path: &Path, names: &NameIndex, zones: Zones) -> Result<Product, String> {
+pub fn parse(
+    text: &str, path: &Path, names: &NameIndex, zones: MemberLookup,
+) -> Result<ProductSettings, String> {
     let line = |at: Option<Range<usize>>, what: &str| {
         // Several lines of explanation, and control characters from the file, have no place in one line.
         let what: String = what.chars().map(|c| if c.is_control() { ' ' } else { c }).collect();
@@ -140,12 +142,12 @@
         }
     };
     let raw: Raw = toml::from_str(text).map_err(|e| line(e.span(), e.message()))?;
-    let wrong = |w: Wrong| line(Some(w.at), &w.what);
+    let wrong = |w: InvalidValue| line(Some(w.span), &w.message);
     let dns = raw.dns.map(|d| d.check(path)).transpose().map_err(wrong)?;
     let members = |service: &str| dns.as_ref().map(|d| zones(d, service));
     let duties = raw.duties.map(|d| (d.span(), d.into_inner()));
     let duties = duties.map(|(at, d)| d.check(at, members)).transpose().map_err(wrong)?;
-    Ok(Product {
+    Ok(ProductSettings {
         log: raw.log,
         smpp: raw.smpp.map(|s| s.check(names)).transpose().map_err(wrong)?,
         duties,
--- a/config/src/settings.rs
+++ b/config/src/settings.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 /// Keys that the protocol names and nothing here reads, each with the reason.
-pub const UNUSED: [(&str, &str); 19] = [
+pub const UNUSED_KEYS: [(&str, &str); 19] = [
     ("classes.aimStretch", "no hint of a message's own work comes with it"),
     ("classes.streamed", "no answer is streamed"),
     ("clientHabits", "a message that came again is treated like any other"),
@@ -197,7 +197,7 @@
 }
 
 /// What the settings allow and forbid, in plain words: a line each.
-pub fn in_words(set: &Settings, names: &NameIndex) -> Vec<String> {
+pub fn describe(set: &Settings, names: &NameIndex) -> Vec<String> {
     let may = |allowed: bool, yes: &str, no: &str| if allowed { yes.to_owned() } else { no.to_owned() };
     let mut lines: Vec<_> = names
         .classes
--- a/config/src/smpp.rs
+++ b/config/src/smpp.rs
@@ -1,6 +1,6 @@
 //! `[smpp]`: how the SMPP front listens, which gateways there are, and what fields mean.
 
-use crate::product::{Seconds, Wrong};
+use crate::product::{InvalidValue, Seconds};
 use onyxrock::core::NameIndex;
 use onyxrock::interface::Micros;
 use serde::Deserialize;
@@ -10,20 +10,20 @@
 use toml::Spanned;
 
 #[derive(Clone, Debug)]
-pub struct Smpp {
+pub struct SmppSettings {
     pub listen: SocketAddr,
     /// Our name, on both sides.
     pub system_id: String,
     /// Submissions of one session that may be unanswered at once.
     pub window: usize,
     /// Silence after which a peer is asked whether it is there.
-    pub enquire: Micros,
+    pub enquire_link_interval: Micros,
     /// Who may bind, and whose messages those are.
-    pub clients: BTreeMap<String, String>,
+    pub tenant_by_system_id: BTreeMap<String, String>,
     /// Class by service_type; the empty one stands for all others.
-    pub classes: BTreeMap<String, String>,
+    pub class_by_service_type: BTreeMap<String, String>,
     /// Destination by the longest prefix of the destination address.
-    pub routes: BTreeMap<String, u64>,
+    pub destination_by_prefix: BTreeMap<String, u64>,
     pub gateways: Vec<Gateway>,
 }
 
@@ -35,12 +35,12 @@
     pub destination: u64,
     pub kind: usize,
     pub zone: String,
-    pub zone_at: usize,
+    pub zone_id: usize,
     pub weight: f64,
     pub window: usize,
-    pub enquire: Micros,
+    pub enquire_link_interval: Micros,
     /// The parameter in which it names a wait, and its unit.
-    pub wait: Option<(u16, Micros)>,
+    pub retry_after_tlv: Option<(u16, Micros)>,
 }
 
 #[derive(Deserialize)]
@@ -129,13 +129,13 @@
 }
 
 /// Its place among names that the platform's settings state.
-fn known(name: &Spanned<String>, names: &BTreeMap<String, usize>) -> Result<usize, Wrong> {
+fn known(name: &Spanned<String>, names: &BTreeMap<String, usize>) -> Result<usize, InvalidValue> {
     let at = names.get(name.get_ref()).copied();
-    at.ok_or_else(|| Wrong::new(name, format!("\"{}\" is not named in the settings", name.get_ref())))
+    at.ok_or_else(|| InvalidValue::new(name, format!("\"{}\" is not named in the settings", name.get_ref())))
 }
 
 impl Raw {
-    pub(crate) fn check(self, names: &NameIndex) -> Result<Smpp, Wrong> {
+    pub(crate) fn check(self, names: &NameIndex) -> Result<SmppSettings, InvalidValue> {
         let mut clients = BTreeMap::new();
         for c in self.client {
             let tenant = c.tenant.filter(|t| !t.get_ref().is_empty());
@@ -159,33 +159,37 @@
                 system_id: g.system_id.unwrap_or_else(|| self.system_id.clone()),
                 destination: g.destination,
                 kind: known(&g.kind, &names.kinds)?,
-                zone_at: known(&g.zone, &names.zones)?,
+                zone_id: known(&g.zone, &names.zones)?,
                 zone: g.zone.into_inner(),
                 weight: f64::from(g.rate),
                 window: g.window.get() as usize,
-                enquire: g.enquire_link_s.0,
-                wait: g.wait_tlv.map(|tag| (tag.get(), unit)),
+                enquire_link_interval: g.enquire_link_s.0,
+                retry_after_tlv: g.wait_tlv.map(|tag| (tag.get(), unit)),
             });
         }
-        Ok(Smpp {
+        Ok(SmppSettings {
             listen: self.listen,
             system_id: self.system_id,
             window: self.window.get() as usize,
-            enquire: self.enquire_link_s.0,
-            clients,
-            classes,
-            routes: self.route.into_iter().map(|r| (r.prefix, r.destination)).collect(),
+            enquire_link_interval: self.enquire_link_s.0,
+            tenant_by_system_id: clients,
+            class_by_service_type: classes,
+            destination_by_prefix: self.route.into_iter().map(|r| (r.prefix, r.destination)).collect(),
             gateways,
         })
     }
 }
 
-impl Smpp {
-    pub fn class(&self, service_type: &str) -> Option<&str> {
-        self.classes.get(service_type).or_else(|| self.classes.get("")).map(String::as_str)
+impl SmppSettings {
+    pub fn class_for(&self, service_type: &str) -> Option<&str> {
+        self.class_by_service_type
+            .get(service_type)
+            .or_else(|| self.class_by_service_type.get(""))
+            .map(String::as_str)
     }
-    pub fn destination(&self, address: &str) -> Option<u64> {
-        let fits = self.routes.iter().filter(|(prefix, _)| address.starts_with(prefix.as_str()));
+    pub fn destination_for(&self, address: &str) -> Option<u64> {
+        let fits =
+            self.destination_by_prefix.iter().filter(|(prefix, _)| address.starts_with(prefix.as_str()));
         fits.max_by_key(|(prefix, _)| prefix.len()).map(|(_, d)| *d)
     }
 }
--- a/config/tests/changes.rs
+++ b/config/tests/changes.rs
@@ -23,7 +23,7 @@
 }
 
 fn lasting() -> Value {
-    changes::lasting(&config())
+    changes::without_optional_keys(&config())
 }
 
 /// The paths of all keys, by way of the first entry of each list.
--- a/config/tests/settings.rs
+++ b/config/tests/settings.rs
@@ -45,7 +45,7 @@
         b.classes[0].effect,
         Effect::Keyed { scope: DedupScope::Destination, window: Micros(5_000_000) }
     );
-    let words = settings::in_words(&b, &names).join("\n");
+    let words = settings::describe(&b, &names).join("\n");
     for said in ["dropped for 5 s by any endpoint", "a second copy may go", "told in answers", "2 senders"] {
         assert!(words.contains(said), "{said}: {words}");
     }
@@ -86,7 +86,7 @@
     assert!(!settings::read(&v).unwrap().0.load_reports, "half of a report is none");
     // What is said to be unused is: whatever stands there, nothing changes.
     let read = settings::read(&reported()).unwrap().0;
-    for (key, _) in settings::UNUSED {
+    for (key, _) in settings::UNUSED_KEYS {
         let mut v = reported();
         let path = key.replace("classes.", "classes.0.").split('.').map(str::to_owned).collect::<Vec<_>>();
         let at = path.iter().fold(&mut v, |v, key| match key.parse::<usize>() {
@@ -134,6 +134,6 @@
             );
         }
         assert!(set.slots > 0 && set.max_held > 0 && set.max_attempts > 0 && set.sender_count > 0);
-        assert!(settings::in_words(&set, &names).len() > set.classes.len());
+        assert!(settings::describe(&set, &names).len() > set.classes.len());
     }
 }
--- a/daemon/src/core_actor/calls.rs
+++ b/daemon/src/core_actor/calls.rs
@@ -33,7 +33,7 @@
     }
 
     fn endpoint_name(&self, to: ReceiverId) -> String {
-        self.directory.peer(to).map(|peer| peer.name.clone()).unwrap_or_default()
+        self.directory.active_endpoint(to).map(|peer| peer.name.clone()).unwrap_or_default()
     }
 
     /// The call of a probe: as any other, but nothing of it is logged or owed.
@@ -61,7 +61,7 @@
     pub(super) fn hand(&mut self, call: OutboundCall) {
         let (now, moot) = (call.started, call.outcome(call.started, Verdict::Moot));
         let odd = call.probe_path.is_some() && self.directory.is_fixed(call.receiver);
-        self.directory.goes(call.receiver);
+        self.directory.call_started(call.receiver);
         let mailbox = self.mailboxes.get(&call.receiver).filter(|_| !odd);
         if mailbox.is_none_or(|m| m.try_send(ToEndpoint::Call(Box::new(call))).is_err()) {
             self.answered(now, &moot);
@@ -132,10 +132,10 @@
             let (id, attempt, elapsed_ms) = (&o.accepted.request_id, a.attempt, a.elapsed.0 / 1000);
             tracing::debug!(id, attempt, to = a.receiver.0, elapsed_ms, "attempt ended: {:?}", a.verdict);
         }
-        self.directory.told(a.receiver, a.wait_until);
+        self.directory.on_retry_after(a.receiver, a.wait_until);
         self.shared.invariants.told_wait(now, a.receiver, a.wait_until);
         self.share_wait(now, a.receiver, a.wait_until);
-        self.directory.ended(a.receiver);
+        self.directory.call_ended(a.receiver);
         let record = self.ledger.end_attempt(now, a);
         self.keep_later(record);
     }
--- a/daemon/src/core_actor/guard.rs
+++ b/daemon/src/core_actor/guard.rs
@@ -41,12 +41,12 @@
             why.increment();
             Err(Verdict::HeldBack)
         };
-        let Some(peer) = self.directory.peer(asks.receiver) else { return Err(Verdict::Moot) };
+        let Some(peer) = self.directory.active_endpoint(asks.receiver) else { return Err(Verdict::Moot) };
         if self.hold && !asks.partly_written {
             return held_back(&counters.held_back_ending);
         }
         // The list that told of the drain may have taken its time: there is no grace left to use up.
-        if peer.drains.is_some() && !asks.partly_written {
+        if peer.draining_since.is_some() && !asks.partly_written {
             let in_maintenance = self.directory.maintenance().contains(&peer.name);
             let why =
                 if in_maintenance { &counters.held_back_maintenance } else { &counters.held_back_drain };
@@ -79,7 +79,7 @@
 
     /// An attempt that is not in the log could be made again after a restart.
     fn attempt_may_go(&mut self, now: Micros, asks: PermitRequest, valid_until: Micros) -> PermitResult {
-        let Some(peer) = self.directory.peer(asks.receiver) else { return Err(Verdict::Moot) };
+        let Some(peer) = self.directory.active_endpoint(asks.receiver) else { return Err(Verdict::Moot) };
         let repeat = self
             .ledger
             .get(asks.number)
--- a/daemon/src/core_actor/maintenance.rs
+++ b/daemon/src/core_actor/maintenance.rs
@@ -4,7 +4,7 @@
 use super::CoreActor;
 use crate::maintenance::{MaintenanceChange, MaintenanceFile};
 use onyxrock::interface::Micros;
-use onyxrock_roster::Follows;
+use onyxrock_roster::DirectoryOutput;
 use std::collections::BTreeSet;
 
 /// How often a file that could not be written is tried again.
@@ -36,7 +36,7 @@
 
     /// A call of operators. It holds from here on, whatever the folder does.
     pub(super) fn maintenance_call(&mut self, now: Micros, change: MaintenanceChange) -> MaintenanceReply {
-        if self.directory.known(&change.endpoint).is_err() {
+        if self.directory.check_known(&change.endpoint).is_err() {
             return MaintenanceReply::UnknownEndpoint;
         }
         if change.in_maintenance && !MaintenanceFile::has_room(self.directory.maintenance(), &change.endpoint)
@@ -88,7 +88,7 @@
 
     fn set_maintenance(&mut self, now: Micros, name: &str, out: bool) {
         self.shared.invariants.maintenance(now, name, out);
-        let mut follows = Follows::default();
+        let mut follows = DirectoryOutput::default();
         self.directory.set_maintenance(now, name, out, &mut follows);
         self.shared.counters.maintenance.set(self.directory.maintenance().len());
         self.follow_up(now, follows);
--- a/daemon/src/core_actor/messages.rs
+++ b/daemon/src/core_actor/messages.rs
@@ -8,7 +8,7 @@
 use async_channel::Sender;
 use onyxrock::core::{AcceptedMessage, AttemptOutcome, FinalStatus, NameIndex};
 use onyxrock::interface::{Micros, ReceiverId, Settings};
-use onyxrock_config::list::List;
+use onyxrock_config::list::EndpointList;
 use onyxrock_sharing::FromPeers;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -61,7 +61,7 @@
         until: Micros,
     },
     AttemptEnded(AttemptOutcome),
-    EndpointList(List),
+    EndpointList(EndpointList),
     /// One part of a list that is too long for one message.
     EndpointListPart(ListPart),
     ListFailed {
--- a/daemon/src/core_actor/sibling.rs
+++ b/daemon/src/core_actor/sibling.rs
@@ -3,7 +3,7 @@
 use super::CoreActor;
 use crate::shared_waits::{Shared, ToldDrain, ToldWait, WaitWriter};
 use onyxrock::interface::{Micros, ReceiverId};
-use onyxrock_roster::Follows;
+use onyxrock_roster::DirectoryOutput;
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 
@@ -73,8 +73,8 @@
         if self.generation.is_some_and(|own| own >= drain.generation) {
             return;
         }
-        let mut follows = Follows::default();
-        self.directory.drains_elsewhere(now, &drain.endpoint, drain.generation, &mut follows);
+        let mut follows = DirectoryOutput::default();
+        self.directory.on_sibling_drain(now, &drain.endpoint, drain.generation, &mut follows);
         tracing::info!(endpoint = drain.endpoint, "list: drains, as the other process was told");
         self.follow_up(now, follows);
     }
@@ -82,10 +82,10 @@
     /// A list has been taken, or its source is another one. What it says of drains is told to the other process.
     pub(super) fn list_of(&mut self, now: Micros, generation: Option<u64>) {
         self.generation = generation;
-        let mut follows = Follows::default();
+        let mut follows = DirectoryOutput::default();
         // Of a process that is gone nothing is to be waited for.
         let as_late_as = generation.filter(|_| self.beside.is_some());
-        self.directory.list_is_as_late_as(now, as_late_as, &mut follows);
+        self.directory.on_list_generation(now, as_late_as, &mut follows);
         self.follow_up(now, follows);
         if self.beside.is_some() {
             self.share_drains(now);
@@ -114,17 +114,17 @@
         if let Some(destination) = self.directory.destination_of(&wait.endpoint) {
             self.used(now, destination);
         }
-        let Some(to) = self.directory.number_of(&wait.endpoint) else { return };
+        let Some(to) = self.directory.receiver_id(&wait.endpoint) else { return };
         self.shared.counters.waits_told_beside.increment();
         self.ledger.on_retry_after(now, to, wait.until);
-        self.directory.told(to, wait.until);
+        self.directory.on_retry_after(to, wait.until);
         self.shared.invariants.told_wait(now, to, wait.until);
     }
 
     /// An endpoint told this process a wait.
     pub(super) fn share_wait(&mut self, now: Micros, to: ReceiverId, until: Micros) {
         let Some(beside) = self.beside.as_mut().filter(|_| until > now) else { return };
-        let Some(peer) = self.directory.peer(to) else { return };
+        let Some(peer) = self.directory.active_endpoint(to) else { return };
         let wait = ToldWait { endpoint: peer.name.clone(), until };
         if let Err(e) = beside.waits.add(&self.shared.clock, &wait) {
             beside.again_at = now.plus(AGAIN);
@@ -141,7 +141,7 @@
         }
         let waits: Vec<_> = self
             .directory
-            .waits(now)
+            .pending_retry_afters(now)
             .map(|(endpoint, until)| ToldWait { endpoint: endpoint.to_owned(), until })
             .collect();
         if beside.waits.snapshot(&self.shared.clock, &waits, &drains).is_err() {
--- a/daemon/src/core_actor/tests.rs
+++ b/daemon/src/core_actor/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 use onyxrock::interface::{ClassSettings, Effect, KindSettings, Settings};
 use onyxrock::interface::{DestinationId, KindId, ListEntry, ZoneId};
-use onyxrock_config::list::Listed;
-use onyxrock_roster::{Rules, Terms};
+use onyxrock_config::list::ListedEndpoint;
+use onyxrock_roster::{DirectorySettings, HealthDecay};
 use rstest::rstest;
 
 fn module(folder: &std::path::Path) -> CoreActor {
@@ -23,7 +23,12 @@
     let names = onyxrock::core::NameIndex { classes, ..Default::default() };
     let ledger = Ledger::new(settings, names, Default::default(), 1);
     let wal = Wal::open(folder, 1_000_000).unwrap().0;
-    let rules = Rules { most: 100, rest: None, terms: Terms::default(), zones: BTreeMap::new() };
+    let rules = DirectorySettings {
+        max_endpoints: 100,
+        deactivate_after: None,
+        health_decay: HealthDecay::default(),
+        zones: BTreeMap::new(),
+    };
     CoreActor::new(shared, ledger, wal, bounded(1).0, BTreeMap::new(), 4, Directory::new(rules))
 }
 
@@ -53,7 +58,7 @@
     (folder, m, now)
 }
 
-fn list(listing: EntryState) -> List {
+fn list(listing: EntryState) -> EndpointList {
     let entry = ListEntry {
         receiver: ReceiverId(0),
         state: listing,
@@ -63,8 +68,8 @@
         weight: 9.0,
     };
     let address = "127.0.0.1:1".parse().unwrap();
-    let listed = Listed { name: "e".into(), address, zone: "z".into(), entry };
-    List { generation: 1, whole: false, entries: vec![listed] }
+    let listed = ListedEndpoint { name: "e".into(), address, zone: "z".into(), entry };
+    EndpointList { generation: 1, complete: false, entries: vec![listed] }
 }
 
 /// A call may wait for its connection for longer than a drain leaves time to send.
--- a/daemon/src/list/fetch.rs
+++ b/daemon/src/list/fetch.rs
@@ -5,8 +5,8 @@
 use crate::net::http::client::{Answer, Conn, Lost};
 use futures_lite::future;
 use onyxrock::interface::Micros;
-use onyxrock_config::list::Reader;
-use onyxrock_roster::{Refused, Staged};
+use onyxrock_config::list::ListReader;
+use onyxrock_roster::{EntryError, StagedList};
 use onyxrock_sharing::{ListRole, MAX_LIST_UPDATE_BYTES};
 use std::net::SocketAddr;
 
@@ -15,7 +15,7 @@
     pub generation: u64,
     /// It names all endpoints; else only those that have changed.
     pub whole: bool,
-    pub entries: Staged,
+    pub entries: StagedList,
     /// Its text where that is short enough to be passed on to other instances, else nothing.
     pub text: Vec<u8>,
 }
@@ -104,8 +104,8 @@
     async fn read(&self, conn: &mut Conn, answer: &Answer) -> Result<(Fetched, bool), Failed> {
         let bounds = &self.discovery.bounds;
         let (most, memory_mb) = (bounds.entries.0 as usize, bounds.memory_mb.0);
-        let mut entries = Staged::new(most, memory_mb as usize * 1_000_000);
-        let mut reader = Reader::new(&self.discovery.names);
+        let mut entries = StagedList::new(most, memory_mb as usize * 1_000_000);
+        let mut reader = ListReader::new(&self.discovery.names);
         let mut text = Vec::new();
         let mut body = conn.begin_body(answer, usize::MAX).map_err(|e| Failed::Silent(e.to_string()))?;
         // A long list takes its time; one that comes by drops is as good as silence.
@@ -125,10 +125,12 @@
             }
             reader.feed(part, |l| {
                 entries.push(&roster_endpoint(&l)).map_err(|refused| match refused {
-                    Refused::Full => Failed::TooLong(format!(
+                    EntryError::Full => Failed::TooLong(format!(
                         "over {most} entries or {memory_mb} MB, its bounds in [list]"
                     )),
-                    Refused::Shape => Failed::Lost("a name or the number of zones is out of bounds".into()),
+                    EntryError::OutOfBounds => {
+                        Failed::Lost("a name or the number of zones is out of bounds".into())
+                    }
                 })
             })?;
             // Nobody waits for the rest of a long list.
@@ -137,7 +139,7 @@
         if answer.status != 200 {
             return Err(Failed::Lost(format!("answer {}", answer.status)));
         }
-        let (generation, whole) = reader.end()?;
+        let (generation, whole) = reader.finish()?;
         if text.len() > MAX_LIST_UPDATE_BYTES {
             text = Vec::new();
         }
--- a/daemon/src/list/follow.rs
+++ b/daemon/src/list/follow.rs
@@ -10,7 +10,7 @@
 use futures_lite::future;
 use onyxrock::interface::Micros;
 use onyxrock_config::list;
-use onyxrock_roster::Staged;
+use onyxrock_roster::StagedList;
 use onyxrock_sharing::{ListRole, ListUpdate, ToList, ToPeers};
 use std::rc::Rc;
 
@@ -312,7 +312,7 @@
     }
 
     /// Hands a list to the module in parts, so that no turn of it takes long.
-    async fn pass(&self, generation: u64, whole: bool, entries: Staged) -> Result<(), ModuleGone> {
+    async fn pass(&self, generation: u64, whole: bool, entries: StagedList) -> Result<(), ModuleGone> {
         let send = async |part| {
             self.shared.core.send(CoreMessage::EndpointListPart(part)).await.map_err(|_| ModuleGone)
         };
--- a/daemon/src/list/mod.rs
+++ b/daemon/src/list/mod.rs
@@ -10,9 +10,9 @@
 use async_channel::Sender;
 use onyxrock::core::NameIndex;
 use onyxrock::interface::Micros;
-use onyxrock_config::idle::Bounds;
-use onyxrock_config::list::Listed;
-use onyxrock_roster::{Block, Endpoint};
+use onyxrock_config::idle::ListLimits;
+use onyxrock_config::list::ListedEndpoint;
+use onyxrock_roster::{Endpoint, EntryBlock};
 use std::time::Duration;
 
 /// A list comes in pieces; so much of it is read at once.
@@ -40,7 +40,7 @@
     pub large_fleet: bool,
     /// Lists are pushed: a start holds its calls until it is told the first one.
     pub lists_pushed: bool,
-    pub bounds: Bounds,
+    pub bounds: ListLimits,
 }
 
 /// One part of a list that is too long for one turn of the module.
@@ -48,14 +48,14 @@
 pub enum ListPart {
     /// A whole list follows.
     Begin,
-    Entries(Block),
+    Entries(EntryBlock),
     /// Look for what it no longer names; false if there is more to look at.
     Sweep(Sender<bool>),
     End(u64),
 }
 
 /// An entry of the list, as the table takes it.
-pub fn roster_endpoint(l: &Listed) -> Endpoint<'_> {
+pub fn roster_endpoint(l: &ListedEndpoint) -> Endpoint<'_> {
     Endpoint {
         name: &l.name,
         address: l.address,
@@ -63,7 +63,7 @@
         kind: u16::try_from(l.entry.kind.0).unwrap_or(u16::MAX),
         destination: l.entry.destination.0,
         weight: l.entry.weight as f32,
-        listing: l.entry.state,
+        state: l.entry.state,
     }
 }
 
--- a/daemon/src/list/tests.rs
+++ b/daemon/src/list/tests.rs
@@ -26,7 +26,7 @@
 
 /// A discovery of which nothing is held.
 fn quiet() -> DiscoveryParams {
-    let (names, bounds) = (NameIndex::default(), onyxrock_config::idle::Bounds::default());
+    let (names, bounds) = (NameIndex::default(), onyxrock_config::idle::ListLimits::default());
     let (shared_by_many, pushed, wait) = (false, false, Micros(10_000));
     DiscoveryParams {
         names,
--- a/daemon/src/list/zone.rs
+++ b/daemon/src/list/zone.rs
@@ -8,8 +8,8 @@
 use hickory_proto::serialize::txt::Parser;
 use onyxrock::core::NameIndex;
 use onyxrock::interface::*;
-use onyxrock_config::duties::Member;
-use onyxrock_config::list::{List, Listed};
+use onyxrock_config::duties::NamedMember;
+use onyxrock_config::list::{EndpointList, ListedEndpoint};
 use std::fmt::Write;
 use std::net::SocketAddr;
 
@@ -195,7 +195,7 @@
     }
 
     /// The endpoints that it lists, and a line for each SRV record that names none.
-    pub fn endpoints(&self, names: &NameIndex) -> (List, Vec<String>) {
+    pub fn endpoints(&self, names: &NameIndex) -> (EndpointList, Vec<String>) {
         let (mut entries, mut wrong) = (Vec::new(), Vec::new());
         for r in &self.records {
             let RData::SRV(srv) = &r.data else { continue };
@@ -208,12 +208,12 @@
                 None => wrong.push(format!("{} {srv}: no destination, or its host has no address", r.name)),
             }
         }
-        (List { generation: self.serial().into(), whole: true, entries }, wrong)
+        (EndpointList { generation: self.serial().into(), complete: true, entries }, wrong)
     }
 
     /// The instances that a service of this zone names, in the order of their names, so that it is one everywhere: its
     /// SRV records' hosts, by their first label.
-    pub fn members(&self, service: &str) -> Result<Vec<Member>, String> {
+    pub fn members(&self, service: &str) -> Result<Vec<NamedMember>, String> {
         let wrong = |e: hickory_proto::ProtoError| format!("{service}: {e}");
         let owner = Name::from_ascii(service).and_then(|n| n.append_domain(&self.origin)).map_err(wrong)?;
         let mut members = Vec::new();
@@ -223,7 +223,7 @@
             let ip = ip.ok_or_else(|| format!("{} has no address", srv.target))?;
             let label = srv.target.iter().next().unwrap_or_default();
             let name = String::from_utf8_lossy(label).into_owned();
-            members.push(Member { name, address: SocketAddr::new(ip, srv.port) });
+            members.push(NamedMember { name, address: SocketAddr::new(ip, srv.port) });
         }
         members.sort_by(|a, b| a.name.cmp(&b.name));
         if members.is_empty() { Err(format!("the zone has no SRV record {owner}")) } else { Ok(members) }
@@ -231,7 +231,7 @@
 
     fn endpoint(
         &self, owner: &Name, srv: &hickory_proto::rr::rdata::SRV, names: &NameIndex,
-    ) -> Option<Listed> {
+    ) -> Option<ListedEndpoint> {
         let labels: Vec<&[u8]> = owner.iter().collect();
         let [b"_onyxrock", b"_tcp", destination, ..] = labels.as_slice() else { return None };
         let destination = std::str::from_utf8(destination).ok()?.parse().ok()?;
@@ -247,7 +247,7 @@
         };
         let zone = text("zone").unwrap_or("");
         let draining = text("state") == Some("draining");
-        Some(Listed {
+        Some(ListedEndpoint {
             name: format!("{}:{}", srv.target.to_ascii().trim_end_matches('.'), srv.port),
             address: SocketAddr::new(ip, srv.port),
             zone: zone.to_owned(),
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -2,7 +2,7 @@
 
 use lexopt::prelude::*;
 use onyxrock_config::daemon::ReadError;
-use onyxrock_config::dns::Dns;
+use onyxrock_config::dns::DnsSettings;
 use onyxrock_config::product;
 use onyxrock_daemon::list::zone::Zone;
 use onyxrock_daemon::show;
@@ -57,7 +57,7 @@
         let var = |name: &str| std::env::var(name).ok().filter(|v| !v.is_empty());
         let path = line.config.clone().or_else(|| var("GW_CONFIG").map(PathBuf::from));
         let config = onyxrock_config::daemon::read(&path.ok_or("no --config and no $GW_CONFIG")?, var)?;
-        let members = |d: &Dns, service: &str| Zone::parse(&d.zone, &d.origin)?.members(service);
+        let members = |d: &DnsSettings, service: &str| Zone::parse(&d.zone_text, &d.origin)?.members(service);
         let product = line.product.as_ref().map(|f| product::read(f, &config.names, &members)).transpose()?;
         Ok::<_, ReadError>((config, product.unwrap_or_default()))
     };
@@ -70,20 +70,25 @@
         "check" => {
             let (c, product) = read()?;
             let (classes, known) =
-                (c.settings.classes.len(), c.known.as_ref().map_or(0, |k| k.entries.len()));
+                (c.settings.classes.len(), c.cached_list.as_ref().map_or(0, |k| k.entries.len()));
             println!("{}: listens on {}, {classes} classes, {known} endpoints known", c.name, c.listen);
-            onyxrock_config::settings::in_words(&c.settings, &c.names).iter().for_each(|w| println!("{w}"));
+            onyxrock_config::settings::describe(&c.settings, &c.names).iter().for_each(|w| println!("{w}"));
             if let Some(s) = product.smpp {
-                println!("SMPP on {}, {} clients, {} gateways", s.listen, s.clients.len(), s.gateways.len());
+                println!(
+                    "SMPP on {}, {} clients, {} gateways",
+                    s.listen,
+                    s.tenant_by_system_id.len(),
+                    s.gateways.len()
+                );
             }
             if let Some(d) = product.dns {
-                let zone = Zone::parse(&d.zone, &d.origin)?;
+                let zone = Zone::parse(&d.zone_text, &d.origin)?;
                 let (list, wrong) = zone.endpoints(&c.names);
                 println!("DNS on {}, {} endpoints in the zone", d.listen, list.entries.len());
                 wrong.iter().for_each(|w| println!("  {w}"));
             }
             if let Some(d) = product.duties {
-                println!("duties on {}, {} members, {} voters", d.listen, d.members.len(), d.voters);
+                println!("duties on {}, {} members, {} voters", d.listen, d.members.len(), d.voter_count);
             }
             Ok(())
         }
--- a/daemon/src/net/smpp/gateway.rs
+++ b/daemon/src/net/smpp/gateway.rs
@@ -143,7 +143,7 @@
             if !sound || self.closing && self.out.is_empty() && self.waiting.is_empty() {
                 break;
             }
-            let silence = self.heard.plus(self.gateway.enquire);
+            let silence = self.heard.plus(self.gateway.enquire_link_interval);
             let silence = if self.asked { silence.plus(PROMPT) } else { silence };
             let first = self.out.values().chain(&self.waiting).map(OutboundCall::until).min();
             let due = first.map_or(silence, |f| f.min(silence));
@@ -308,7 +308,7 @@
 
     /// The wait that a refusal names, in the parameter that the file names.
     fn wait(&self, pdu: Option<&Pdu>) -> Option<Micros> {
-        let (tag, unit) = self.gateway.wait?;
+        let (tag, unit) = self.gateway.retry_after_tlv?;
         let Some(Pdu::SubmitSmResp(resp)) = pdu else { return None };
         let value = resp.tlvs().iter().find(|t| t.tag() == TlvTag::from(tag))?.value()?;
         let TlvValue::Other { value, .. } = value else { return None };
--- a/daemon/src/net/smpp/inbound.rs
+++ b/daemon/src/net/smpp/inbound.rs
@@ -10,7 +10,7 @@
 use futures_lite::future;
 use onyxrock::core::AcceptedMessage;
 use onyxrock::interface::Micros;
-use onyxrock_config::smpp::Smpp;
+use onyxrock_config::smpp::SmppSettings;
 use rusmpp::pdus::{BindReceiverResp, BindTransceiverResp, BindTransmitterResp, SubmitSm, SubmitSmResp};
 use rusmpp::tlvs::TlvValue;
 use rusmpp::values::InterfaceVersion;
@@ -27,7 +27,7 @@
 /// What all sessions need.
 pub struct Frontend {
     pub shared: Rc<SharedState>,
-    pub smpp: Smpp,
+    pub smpp: SmppSettings,
     /// How long a message of each class may take.
     pub give_up: BTreeMap<String, Micros>,
     pub receipts: Sender<ToReceipts>,
@@ -103,8 +103,8 @@
         loop {
             let silence = match (&self.bound, self.asked.is_empty()) {
                 (None, _) => opened.plus(BIND_WITHIN),
-                (_, true) => heard.plus(self.front.smpp.enquire),
-                (_, false) => heard.plus(self.front.smpp.enquire).plus(PROMPT),
+                (_, true) => heard.plus(self.front.smpp.enquire_link_interval),
+                (_, false) => heard.plus(self.front.smpp.enquire_link_interval).plus(PROMPT),
             };
             let room = self.out.len() < self.front.smpp.window;
             let event = {
@@ -237,7 +237,7 @@
         if self.bound.is_some() {
             return CommandStatus::EsmeRalybnd;
         }
-        if !self.front.smpp.clients.contains_key(system_id) {
+        if !self.front.smpp.tenant_by_system_id.contains_key(system_id) {
             return CommandStatus::EsmeRinvsysid;
         }
         if self.front.shared.stopping.get() {
@@ -298,9 +298,9 @@
         let Frontend { shared, smpp, give_up, .. } = self.front;
         let now = shared.clock.now();
         let service = text(sm.service_type.value());
-        let class = smpp.class(service).ok_or(CommandStatus::EsmeRinvsertyp)?;
+        let class = smpp.class_for(service).ok_or(CommandStatus::EsmeRinvsertyp)?;
         let to = text(&sm.destination_addr);
-        let destination = smpp.destination(to).ok_or(CommandStatus::EsmeRinvdstadr)?;
+        let destination = smpp.destination_for(to).ok_or(CommandStatus::EsmeRinvdstadr)?;
         let most = *give_up.get(class).ok_or(CommandStatus::EsmeRinvsertyp)?;
         let period = text(&sm.validity_period);
         let left = match period {
@@ -330,7 +330,7 @@
             request_id: id,
             class: class.to_owned(),
             recorded_class: None,
-            tenant: smpp.clients.get(system_id).cloned().unwrap_or_default(),
+            tenant: smpp.tenant_by_system_id.get(system_id).cloned().unwrap_or_default(),
             destination,
             idempotency_key: String::new(),
             frontend_note: note.write(),
--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -22,9 +22,9 @@
 use onyxrock::core::{Ledger, Record, add_probe_class, recover};
 use onyxrock::interface::{DestinationId, Micros};
 use onyxrock_config::daemon::{Config, ReadError};
-use onyxrock_config::product::Product;
+use onyxrock_config::product::ProductSettings;
 use onyxrock_membership::Membership;
-use onyxrock_roster::{Directory, Rules, Terms};
+use onyxrock_roster::{Directory, DirectorySettings, HealthDecay};
 use onyxrock_sharing::{DutyRunner, Peers, ToPeers, bind_socket, detector_timing, member_by_name};
 use rustix::net::sockopt::{set_socket_reuseaddr, set_socket_reuseport};
 use rustix::net::{AddressFamily, SocketFlags, SocketType, bind, listen as listen_at, socket_with};
@@ -44,7 +44,7 @@
 /// How often a process that ends looks whether its last connections have ended.
 const LOOK: Duration = Duration::from_millis(50);
 
-type Reread<'a> = &'a dyn Fn() -> Result<(Config, Product), ReadError>;
+type Reread<'a> = &'a dyn Fn() -> Result<(Config, ProductSettings), ReadError>;
 
 /// A file that the system does not let be read at the moment of the signal is read again, so often: within the 1.2 s after which
 /// new settings bind, and no longer than a SIGTERM behind it can wait, which leaves `END_BY` and 0.4 s until the kill.
@@ -53,33 +53,34 @@
 
 /// Runs a forwarder until it is told to end.
 /// `reread` reads the configuration anew when SIGHUP comes.
-pub fn run(config: Config, product: Product, reread: Reread) -> Result<(), String> {
+pub fn run(config: Config, product: ProductSettings, reread: Reread) -> Result<(), String> {
     let executor = Rc::new(LocalExecutor::new());
     let served = serve(config, product, reread, executor.clone());
     async_io::block_on(executor.run(served))
 }
 
 async fn serve(
-    config: Config, product: Product, reread: Reread<'_>, executor: Rc<LocalExecutor<'static>>,
+    config: Config, product: ProductSettings, reread: Reread<'_>, executor: Rc<LocalExecutor<'static>>,
 ) -> Result<(), String> {
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])
         .map_err(|e| format!("cannot wait for signals: {e}"))?;
-    let mut held = Config { known: None, ..config.clone() };
-    let Product { smpp, dns, duties, list: bounds, idle: resting, .. } = product.clone();
+    let mut held = Config { cached_list: None, ..config.clone() };
+    let ProductSettings { smpp, dns, duties, list: bounds, idle: resting, .. } = product.clone();
     // The kept zone, old and new, shares the folder with the log.
-    let kept_zone = dns.as_ref().map_or(0, |d| dns::max_kept_zone_bytes(&d.zone, config.disk_bytes));
+    let kept_zone = dns.as_ref().map_or(0, |d| dns::max_kept_zone_bytes(&d.zone_text, config.max_disk_bytes));
     let zones = 2 * kept_zone;
     let zones = zones + if duties.is_some() { state_files::EPOCH_BYTES } else { 0 };
-    let kept = resting.map_or(0, |i| i.keep);
-    if 2 * kept + zones > config.disk_bytes / 2 {
+    let kept = resting.map_or(0, |i| i.max_snapshot_bytes);
+    if 2 * kept + zones > config.max_disk_bytes / 2 {
         return Err(format!(
             "[idle]: keep_kb: twice that is more than half of disk_mb, {} bytes",
-            config.disk_bytes
+            config.max_disk_bytes
         ));
     }
     // The file of what is remembered, old and new, too.
-    let log_bytes = config.disk_bytes.saturating_sub(zones + 2 * kept);
-    let Opened { claim, wal, scan, maintenance: taken_out } = open_folder(&config.state, log_bytes).await?;
+    let log_bytes = config.max_disk_bytes.saturating_sub(zones + 2 * kept);
+    let Opened { claim, wal, scan, maintenance: taken_out } =
+        open_folder(&config.state_folder, log_bytes).await?;
     if scan.damaged_bytes > 0 {
         tracing::warn!("log: {} bytes belong to no whole record and are left out", scan.damaged_bytes);
     }
@@ -92,7 +93,7 @@
     let (to_peers, peers_inbox) = bounded((4 * others).max(1024));
     let (to_list, list_letters) = bounded(64);
     let shared = Rc::new(SharedState {
-        clock: Clock::continued(&config.state),
+        clock: Clock::continued(&config.state_folder),
         counters: Counters::default(),
         invariants: Default::default(),
         core: to_module.clone(),
@@ -109,8 +110,8 @@
         connect_timeout: config.connect_timeout,
         idle_timeout: (idle > Micros(0)).then_some(Micros(idle.0 * 4 / 5)),
         peers: duties.as_ref().map(|_| to_peers.clone()),
-        max_inbound: (config.sockets / 2).max(8) as u64,
-        max_outbound: (config.sockets / 4).max(8) as u64,
+        max_inbound: (config.max_sockets / 2).max(8) as u64,
+        max_outbound: (config.max_sockets / 4).max(8) as u64,
         executor: executor.clone(),
     });
     shared.list_answered_at.set(shared.clock.now());
@@ -131,28 +132,35 @@
     let plain = gateways.iter().map(|g| DestinationId(g.destination)).collect();
     let mut settings = config.settings;
     let probe_class = duties.as_ref().map(|d| {
-        let shared = !d.probe.alone;
+        let shared = !d.probe.without_leases;
         settings.peer_hints = shared;
         // Longer than a hand-over of the duty takes.
-        let hold_back = if shared { Micros(d.lease.0 * 3) } else { Micros(0) };
-        add_probe_class(&mut settings, Micros(d.probe.patience.0 * 2), hold_back)
+        let hold_back = if shared { Micros(d.lease_duration.0 * 3) } else { Micros(0) };
+        add_probe_class(&mut settings, Micros(d.probe.timeout.0 * 2), hold_back)
     });
     let ledger = Ledger::new(settings, config.names.clone(), plain, config.seed);
-    let terms = resting.map(|i| Terms { half_life: i.half_life, forget: i.forget }).unwrap_or_default();
+    let terms = resting
+        .map(|i| HealthDecay { half_life: i.half_life, forget_after: i.forget_after })
+        .unwrap_or_default();
     let zones = config.names.zones.clone();
-    let rules = Rules { most: bounds.entries.0 as usize, rest: resting.map(|i| i.rest), terms, zones };
+    let rules = DirectorySettings {
+        max_endpoints: bounds.entries.0 as usize,
+        deactivate_after: resting.map(|i| i.deactivate_after),
+        health_decay: terms,
+        zones,
+    };
     let mut module =
         CoreActor::new(shared.clone(), ledger, wal, follow, fronts, slots, Directory::new(rules));
     module.assumed = resting.map(|i| i.assumed_per_s);
     if kept > 0 {
         let now = shared.clock.now();
-        for (whose, memory) in state_files::load(&config.state, kept as usize) {
-            module.directory.memories_mut().restore(now, whose, memory);
+        for (whose, memory) in state_files::load(&config.state_folder, kept as usize) {
+            module.directory.health_store_mut().restore(now, whose, memory);
         }
         let (to_keep, keeping) = bounded(1);
         module.keep = Some(to_keep);
         executor
-            .spawn(state_files::run(shared.clone(), config.state.clone(), kept as usize, keeping))
+            .spawn(state_files::run(shared.clone(), config.state_folder.clone(), kept as usize, keeping))
             .detach();
     }
     gateways.into_iter().for_each(|g| module.gateway(g));
@@ -166,16 +174,16 @@
             me,
             member_count: u16::try_from(d.members.len()).map_err(|_| "[duties]: too many members")?,
             keys: d.keys.clone(),
-            timing: detector_timing(d.lease),
+            timing: detector_timing(d.lease_duration),
         };
         let membership = Membership::new(setup, now.0, u64::from_le_bytes(entropy), now);
         let boot = membership.boot_id();
-        let folder = config.state.clone();
+        let folder = config.state_folder.clone();
         let keep = Box::new(move |bound| {
             let kept = state_files::keep_epoch(&folder, bound);
             kept.inspect_err(|e| tracing::error!("duties: an epoch could not be kept: {e}")).is_ok()
         });
-        let memory = state_files::epoch(&config.state);
+        let memory = state_files::epoch(&config.state_folder);
         let out = to_peers.clone();
         module.probing = Some(DutyRunner::new(d, me, boot, now, class, out, to_list, memory, keep));
         let at = socket.get_ref().local_addr().map_err(|e| e.to_string())?;
@@ -187,13 +195,20 @@
     }
     // A zone of our own is later than what discovery last told.
     let zone = dns.map(|d| {
-        dns::DnsServer::open(&d.zone, &d.origin, d.listen, config.state, kept_zone, config.names.clone())
+        dns::DnsServer::open(
+            &d.zone_text,
+            &d.origin,
+            d.listen,
+            config.state_folder,
+            kept_zone,
+            config.names.clone(),
+        )
     });
     let zone = zone.transpose()?;
     // Where many share discovery, a start asks only for what has changed: a whole list for each of them keeps it busy
     // for seconds in which no other call is answered.
-    let since = config.known.as_ref().filter(|_| share_much && zone.is_none()).map(|k| k.generation);
-    if let Some(known) = zone.as_ref().map(|z| z.zone.endpoints(&z.names).0).or(config.known) {
+    let since = config.cached_list.as_ref().filter(|_| share_much && zone.is_none()).map(|k| k.generation);
+    if let Some(known) = zone.as_ref().map(|z| z.zone.endpoints(&z.names).0).or(config.cached_list) {
         module.known(known);
     }
     // An id that came to an earlier process could still run.
@@ -207,7 +222,7 @@
     }
     module.knows(&scan.records);
     module.resume(recover(scan.records).into_values());
-    if config.pushed && zone.is_none() {
+    if config.lists_pushed && zone.is_none() {
         module.first_list = Some(FirstList::new(now));
         let _ = module.follow.try_send(());
     }
@@ -235,7 +250,7 @@
         names: config.names,
         generation: since,
         large_fleet: !asks_twice,
-        lists_pushed: config.pushed,
+        lists_pushed: config.lists_pushed,
         bounds,
         watch_wait: wait.clamp(Micros(1_000_000), list::MAX_WATCH_WAIT),
     };
@@ -338,7 +353,7 @@
 }
 
 /// Keys for members hold at once; what else differs in our own file is named.
-fn reload_product(shared: &SharedState, ours: &Product, new: &Product) {
+fn reload_product(shared: &SharedState, ours: &ProductSettings, new: &ProductSettings) {
     if let (Some(peers), Some(d)) = (&shared.peers, &new.duties) {
         let _ = peers.try_send(ToPeers::Rekey(d.keys.clone()));
         tracing::info!(
@@ -348,7 +363,7 @@
         );
     }
     let differs = match (&ours.duties, &new.duties) {
-        (Some(ours), Some(new)) => ours.differs(new),
+        (Some(ours), Some(new)) => ours.requires_restart(new),
         (ours, new) => ours.is_some() != new.is_some(),
     };
     if (ours.list, ours.idle) != (new.list, new.idle) {
@@ -360,7 +375,7 @@
 }
 
 /// Reads the file, over a moment in which the system has no descriptor for it.
-async fn read_again(reread: Reread<'_>) -> Result<(Config, Product), ReadError> {
+async fn read_again(reread: Reread<'_>) -> Result<(Config, ProductSettings), ReadError> {
     for _ in 0..REREAD_TRIES {
         match reread() {
             Err(ReadError::Unreadable(_)) => Timer::after(REREAD_EVERY).await,
@@ -372,9 +387,9 @@
 
 /// Reads the file again, and has all of it hold that can while this process runs. True if discovery has moved. What cannot
 /// be read, or is not whole, changes nothing.
-async fn reload(shared: &SharedState, held: &mut Config, ours: &Product, reread: Reread<'_>) -> bool {
+async fn reload(shared: &SharedState, held: &mut Config, ours: &ProductSettings, reread: Reread<'_>) -> bool {
     let read = read_again(reread).await.map_err(String::from);
-    let read = read.and_then(|(new, product)| held.check_next(&new).map(|()| (new, product)));
+    let read = read.and_then(|(new, product)| held.check_reload(&new).map(|()| (new, product)));
     let (new, product) = match read {
         Ok(read) => read,
         Err(e) => {
@@ -385,7 +400,7 @@
     };
     reload_product(shared, ours, &product);
     shared.counters.reloads.increment();
-    let late = held.differs(&new);
+    let late = held.restart_only_differences(&new);
     if !late.is_empty() {
         tracing::warn!("reload: {} will hold from the next start on", late.join(", "));
     }
@@ -396,8 +411,8 @@
     let live = Box::new(LiveSettings { settings, names });
     let _ = shared.core.send(CoreMessage::NewSettings(live)).await;
     // What waits for the next start is compared with what this one had.
-    let Config { discovery, file, .. } = new;
-    (held.discovery, held.file) = (discovery, file);
+    let Config { discovery, required_values: file, .. } = new;
+    (held.discovery, held.required_values) = (discovery, file);
     true
 }
 
--- a/daemon/src/serve/tests.rs
+++ b/daemon/src/serve/tests.rs
@@ -18,13 +18,13 @@
         calls.set(0);
         let reread = || {
             calls.set(calls.get() + 1);
-            Err(if calls.get() < 4 { first.clone() } else { ReadError::Wrong("read".into()) })
+            Err(if calls.get() < 4 { first.clone() } else { ReadError::Invalid("read".into()) })
         };
         async_io::block_on(read_again(&reread)).map(drop)
     };
-    assert_eq!(fails(ReadError::Unreadable("no descriptor".into())), Err(ReadError::Wrong("read".into())));
+    assert_eq!(fails(ReadError::Unreadable("no descriptor".into())), Err(ReadError::Invalid("read".into())));
     assert_eq!(calls.get(), 4);
-    assert_eq!(fails(ReadError::Wrong("no JSON".into())), Err(ReadError::Wrong("no JSON".into())));
+    assert_eq!(fails(ReadError::Invalid("no JSON".into())), Err(ReadError::Invalid("no JSON".into())));
     assert_eq!(calls.get(), 1);
     let never = || Err(ReadError::Unreadable("no descriptor".into()));
     assert!(async_io::block_on(read_again(&never)).is_err(), "it is given up in time");
--- a/daemon/src/state_files.rs
+++ b/daemon/src/state_files.rs
@@ -5,7 +5,7 @@
 use async_channel::Receiver;
 use futures_lite::future;
 use onyxrock_duties as duties;
-use onyxrock_roster::{Memory, Whose, Writer, read};
+use onyxrock_roster::{HealthKey, SnapshotWriter, StoredHealth, read_snapshot};
 use std::fs::File;
 use std::io::{self, ErrorKind, Read, Write};
 use std::path::{Path, PathBuf};
@@ -15,7 +15,7 @@
 const NEW: &str = "onyxrock.idle.new";
 
 /// Reads what an earlier process kept. One line tells of a file that cannot be used, which is removed.
-pub fn load(folder: &Path, most: usize) -> Vec<(Whose, Memory)> {
+pub fn load(folder: &Path, most: usize) -> Vec<(HealthKey, StoredHealth)> {
     let path = folder.join(NAME);
     let mut bytes = Vec::new();
     // Of a file longer than any that is written no more is read than shows it.
@@ -23,7 +23,7 @@
     let why = match read_all {
         Err(e) if e.kind() == ErrorKind::NotFound => return Vec::new(),
         Err(e) => e.to_string(),
-        Ok(_) => match read(&bytes) {
+        Ok(_) => match read_snapshot(&bytes) {
             Ok(all) => return all,
             Err(why) => why,
         },
@@ -35,7 +35,7 @@
 
 /// Writes each of these in place of the last, in slices: nobody waits for all of it.
 pub async fn run(
-    shared: Rc<SharedState>, folder: PathBuf, most: usize, inbox: Receiver<Vec<(Whose, Memory)>>,
+    shared: Rc<SharedState>, folder: PathBuf, most: usize, inbox: Receiver<Vec<(HealthKey, StoredHealth)>>,
 ) {
     while let Ok(all) = inbox.recv().await {
         match write(&folder, most, all).await {
@@ -48,16 +48,16 @@
     }
 }
 
-async fn write(folder: &Path, most: usize, all: Vec<(Whose, Memory)>) -> io::Result<()> {
+async fn write(folder: &Path, most: usize, all: Vec<(HealthKey, StoredHealth)>) -> io::Result<()> {
     let new = folder.join(NEW);
     let mut file = File::create(&new)?;
-    let mut blocks = Writer::new(all, most);
+    let mut blocks = SnapshotWriter::new(all, most);
     for block in blocks.by_ref() {
         file.write_all(&block)?;
         future::yield_now().await;
     }
-    if blocks.left_out > 0 {
-        tracing::debug!("idle: {} memories found no room", blocks.left_out);
+    if blocks.omitted > 0 {
+        tracing::debug!("idle: {} memories found no room", blocks.omitted);
     }
     std::fs::rename(new, folder.join(NAME))
 }
--- a/lab/src/experiments/scale.rs
+++ b/lab/src/experiments/scale.rs
@@ -249,7 +249,8 @@
     }
     let agreement = json!({"daemons": form.daemons, "real": real, "hollow": hollow, "real_mb": real_mb,
         "unpaid": unpaid, "bytes_ratio": bytes_ratio, "cpu_ratio": cpu_ratio});
-    let list = json!({"entries": form.listed, "listed": list.directory.listed(), "mb": list.mb});
+    let list =
+        json!({"entries": form.listed, "listed": list.directory.listed_endpoint_count(), "mb": list.mb});
     let placement = json!({"regions": placement::REGIONS, "zones": placement::ZONES, "links": links()});
     let figures = json!({"seed": setup.seed, "claims_by_size": by_size, "parts": parts(),
         "agreement": agreement, "list": list, "placement": placement, "changes_per_day": CHANGES_PER_DAY,
--- a/lab/src/experiments/slopes/engine.rs
+++ b/lab/src/experiments/slopes/engine.rs
@@ -13,7 +13,7 @@
 use onyxrock::{PolicyEngine, interface::Settings};
 use onyxrock_daemon::wal::Wal;
 use onyxrock_duties::LeaseTerms;
-use onyxrock_roster::{Directory, Follows};
+use onyxrock_roster::{Directory, DirectoryOutput};
 use std::path::Path;
 
 /// Bytes of what is delivered.
@@ -82,10 +82,10 @@
 
 /// Brings a destination into use, as the daemon's module does at the first message for it.
 fn wake(ledger: &mut Ledger, directory: &mut Directory, now: Micros, destination: u64, sick: bool) {
-    let mut follows = Follows::default();
+    let mut follows = DirectoryOutput::default();
     let Some(mut woken) = directory.touch(now, destination, &mut follows) else { return };
-    woken.each.iter_mut().for_each(|(_, repute)| repute.unhealthy = sick);
-    ledger.activate(now, destination, woken.whole, woken.each, 10.0);
+    woken.endpoints.iter_mut().for_each(|(_, repute)| repute.unhealthy = sick);
+    ledger.activate(now, destination, woken.health, woken.endpoints, 10.0);
 }
 
 /// One message to it, delivered at once.
--- a/lab/src/experiments/slopes/listing.rs
+++ b/lab/src/experiments/slopes/listing.rs
@@ -7,8 +7,10 @@
 use crate::capacity::fit::Point;
 use onyxrock::core::NameIndex;
 use onyxrock::interface::{Micros, RetainedHealth};
-use onyxrock_config::list::Reader;
-use onyxrock_roster::{Directory, Follows, Memories, Rules, Staged, Terms, Whose};
+use onyxrock_config::list::ListReader;
+use onyxrock_roster::{
+    Directory, DirectoryOutput, DirectorySettings, HealthDecay, HealthKey, HealthStore, StagedList,
+};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 
@@ -24,22 +26,26 @@
 
 /// An empty directory for so many endpoints.
 pub fn directory(most: u64) -> Directory {
-    let rules =
-        Rules { most: most as usize, rest: Some(REST), terms: Terms::default(), zones: names().zones };
+    let rules = DirectorySettings {
+        max_endpoints: most as usize,
+        deactivate_after: Some(REST),
+        health_decay: HealthDecay::default(),
+        zones: names().zones,
+    };
     Directory::new(rules)
 }
 
 /// One that lists so many destinations of one endpoint each.
 pub fn full(listed: u64) -> Directory {
     let mut directory = directory(listed);
-    let mut follows = Follows::default();
-    directory.begin();
+    let mut follows = DirectoryOutput::default();
+    directory.begin_complete_list();
     for destination in 0..listed {
         let name = name_of(destination);
         directory.put(Micros(0), entry_of(&name, destination), &mut follows).expect("there is room");
     }
     while !directory.sweep(Micros(0), SWEEP, &mut follows) {}
-    directory.taken();
+    directory.finish_list();
     directory
 }
 
@@ -54,10 +60,10 @@
 pub fn resting_memory(plan: &Plan) -> Vec<(Cost, Vec<Point>)> {
     let repute = RetainedHealth { served_per_s: 5.0, ..RetainedHealth::default() };
     let make = |n: u64| {
-        let mut memories = Memories::new(Terms::default());
+        let mut memories = HealthStore::new(HealthDecay::default());
         for destination in 0..n {
-            memories.keep(Micros(1), Whose::Destination(destination), repute);
-            memories.keep(Micros(1), Whose::Endpoint(name_of(destination).into()), repute);
+            memories.store(Micros(1), HealthKey::Destination(destination), repute);
+            memories.store(Micros(1), HealthKey::Endpoint(name_of(destination).into()), repute);
         }
         memories
     };
@@ -67,17 +73,17 @@
 
 /// Reads an answer and applies it, as the daemon's list and its module do.
 fn apply(text: &[u8], names: &NameIndex, directory: &mut Directory) -> Result<(), String> {
-    let mut staged = Staged::new(usize::MAX, STAGED_BYTES);
-    let mut reader = Reader::new(names);
+    let mut staged = StagedList::new(usize::MAX, STAGED_BYTES);
+    let mut reader = ListReader::new(names);
     reader.feed(text, |l| staged.push(&as_endpoint(&l)).map_err(|e| format!("{e:?}")))?;
-    reader.end()?;
-    let mut follows = Follows::default();
+    reader.finish()?;
+    let mut follows = DirectoryOutput::default();
     for block in staged.into_blocks() {
         for entry in block.iter() {
             directory.put(Micros(1), entry, &mut follows).map_err(|e| format!("{e:?}"))?;
         }
     }
-    directory.taken();
+    directory.finish_list();
     Ok(())
 }
 
@@ -99,8 +105,8 @@
 
 fn whole_once(n: u64, watch: &mut Stopwatch) -> Result<usize, String> {
     let names = names();
-    let mut reader = Reader::new(&names);
-    let mut staged = Staged::new(usize::MAX, STAGED_BYTES);
+    let mut reader = ListReader::new(&names);
+    let mut staged = StagedList::new(usize::MAX, STAGED_BYTES);
     let mut carried = 0;
     let mut feed = |text: &str| {
         carried += text.len();
@@ -115,16 +121,16 @@
         feed(&(entries.join(",") + end))?;
     }
     watch.time(|| {
-        reader.end()?;
-        let (mut directory, mut follows) = (directory(n), Follows::default());
-        directory.begin();
+        reader.finish()?;
+        let (mut directory, mut follows) = (directory(n), DirectoryOutput::default());
+        directory.begin_complete_list();
         for block in staged.into_blocks() {
             for entry in block.iter() {
                 directory.put(Micros(1), entry, &mut follows).map_err(|e| format!("{e:?}"))?;
             }
         }
         while !directory.sweep(Micros(1), SWEEP, &mut follows) {}
-        directory.taken();
+        directory.finish_list();
         Ok::<_, String>(())
     })?;
     Ok(carried)
--- a/lab/src/experiments/slopes/wire.rs
+++ b/lab/src/experiments/slopes/wire.rs
@@ -104,11 +104,11 @@
         kind: 0,
         destination,
         weight: 50.0,
-        listing: EntryState::Ready,
+        state: EntryState::Ready,
     }
 }
 
 /// An entry that was read, for the directory.
-pub fn as_endpoint(listed: &onyxrock_config::list::Listed) -> Endpoint<'_> {
+pub fn as_endpoint(listed: &onyxrock_config::list::ListedEndpoint) -> Endpoint<'_> {
     roster_endpoint(listed)
 }
--- a/lab/src/scale/cluster.rs
+++ b/lab/src/scale/cluster.rs
@@ -9,8 +9,8 @@
 use super::shard::{Arrival, Command, Departure, Handle, Reply};
 use onyxrock::core::NameIndex;
 use onyxrock::interface::Micros;
-use onyxrock_config::duties::{Duties, Member as Named, Probe};
-use onyxrock_config::list::{self, List};
+use onyxrock_config::duties::{DutySettings, NamedMember as Named, ProbeSettings};
+use onyxrock_config::list::{self, EndpointList};
 use onyxrock_duties::Member;
 use onyxrock_membership::{Key, Keys};
 use rand::rngs::StdRng;
@@ -65,25 +65,30 @@
     rng: StdRng,
 }
 
-fn duties(plan: &Plan) -> Result<Duties, String> {
+fn duties(plan: &Plan) -> Result<DutySettings, String> {
     let nowhere = ([127, 0, 0, 1], 9).into();
     let named = |index| Named { name: format!("n{}", index + 1), address: nowhere };
     let keys = Keys::new(1, [Key { id: 1, secret: [0x5a; 32] }]).map_err(|e| format!("{e:?}"))?;
     let patience = Micros((plan.lease.0 * 2 / 5).min(1_000_000));
-    Ok(Duties {
+    Ok(DutySettings {
         listen: nowhere,
         members: (0..plan.members).map(named).collect(),
-        voters: plan.voters,
-        lease: plan.lease,
-        probe: Probe { per_s: 1.0, patience, path: "/health".to_owned(), alone: false },
-        list: true,
-        coordinator: true,
+        voter_count: plan.voters,
+        lease_duration: plan.lease,
+        probe: ProbeSettings {
+            per_s: 1.0,
+            timeout: patience,
+            path: "/health".to_owned(),
+            without_leases: false,
+        },
+        share_list: true,
+        elect_coordinator: true,
         keys,
     })
 }
 
 /// The list that all start with.
-fn known(listed: u64) -> Result<List, String> {
+fn known(listed: u64) -> Result<EndpointList, String> {
     list::parse(&text(FIRST_GENERATION, true, first_lines(0, listed)), &NameIndex::default())
 }
 
--- a/lab/src/scale/follower.rs
+++ b/lab/src/scale/follower.rs
@@ -2,7 +2,7 @@
 
 use super::discovery::{Ask, Call};
 use onyxrock::interface::Micros;
-use onyxrock_config::list::{self, List};
+use onyxrock_config::list::{self, EndpointList};
 use onyxrock_duties::{Epoch, Member};
 use onyxrock_sharing::{ListRole, ListUpdate, MAX_LIST_UPDATE_BYTES, ToList};
 
@@ -21,7 +21,7 @@
     /// Close a call.
     Close(Call),
     /// Take this list.
-    Take(List),
+    Take(EndpointList),
     /// Tell the others.
     Tell(ListUpdate),
     /// Discovery could not be asked.
@@ -176,7 +176,7 @@
         actions.push(Action::Take(list));
     }
 
-    fn news(&self, epoch: Epoch, list: &List, body: &[u8]) -> ListUpdate {
+    fn news(&self, epoch: Epoch, list: &EndpointList, body: &[u8]) -> ListUpdate {
         let from = self.generation.unwrap_or(list.generation);
         let body = if body.len() <= MAX_LIST_UPDATE_BYTES { body.to_vec() } else { Vec::new() };
         ListUpdate { epoch, previous_generation: from, generation: list.generation, body }
--- a/lab/src/scale/forwarder.rs
+++ b/lab/src/scale/forwarder.rs
@@ -8,11 +8,11 @@
 use async_channel::{Receiver, bounded};
 use onyxrock::core::{Ledger, LedgerAction, NameIndex, add_probe_class};
 use onyxrock::interface::{ClassSettings, Effect, Event, KindSettings, Micros, Settings};
-use onyxrock_config::duties::Duties;
-use onyxrock_config::list::{List, Listed};
+use onyxrock_config::duties::DutySettings;
+use onyxrock_config::list::{EndpointList, ListedEndpoint};
 use onyxrock_duties::{Epoch, Member, StoredBound};
 use onyxrock_membership::{Membership, MembershipSettings, Output};
-use onyxrock_roster::{Directory, Endpoint, Follows, Rules, Terms};
+use onyxrock_roster::{Directory, DirectoryOutput, DirectorySettings, Endpoint, HealthDecay};
 use onyxrock_sharing::{DutyRunner, FromPeers, ListRole, ToList, ToPeers, detector_timing};
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -31,9 +31,9 @@
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// Members, voters, keys and the length of leases.
-    pub duties: Duties,
+    pub duties: DutySettings,
     /// The list that a start finds, which discovery had told before.
-    pub known: Arc<List>,
+    pub known: Arc<EndpointList>,
     /// Of all chance.
     pub seed: u64,
 }
@@ -109,7 +109,7 @@
 }
 
 /// An entry of the list, as the directory takes it.
-fn endpoint(listed: &Listed) -> Endpoint<'_> {
+fn endpoint(listed: &ListedEndpoint) -> Endpoint<'_> {
     Endpoint {
         name: &listed.name,
         address: listed.address,
@@ -117,29 +117,34 @@
         kind: u16::try_from(listed.entry.kind.0).unwrap_or(u16::MAX),
         destination: listed.entry.destination.0,
         weight: listed.entry.weight as f32,
-        listing: listed.entry.state,
+        state: listed.entry.state,
     }
 }
 
 /// A directory as every forwarder has it, with nothing listed.
 #[must_use]
 pub fn directory() -> Directory {
-    let (terms, zones) = (Terms::default(), BTreeMap::new());
-    Directory::new(Rules { most: LISTED_MOST, rest: None, terms, zones })
+    let (terms, zones) = (HealthDecay::default(), BTreeMap::new());
+    Directory::new(DirectorySettings {
+        max_endpoints: LISTED_MOST,
+        deactivate_after: None,
+        health_decay: terms,
+        zones,
+    })
 }
 
 /// Takes a list into a directory.
-pub fn take(directory: &mut Directory, now: Micros, list: &List) -> Follows {
-    let mut follows = Follows::default();
-    if list.whole {
-        directory.begin();
+pub fn take(directory: &mut Directory, now: Micros, list: &EndpointList) -> DirectoryOutput {
+    let mut follows = DirectoryOutput::default();
+    if list.complete {
+        directory.begin_complete_list();
     }
     for listed in &list.entries {
         // What finds no place is left out, and `Forwarder::take` sees that it is missing.
         let _ = directory.put(now, endpoint(listed), &mut follows);
     }
     directory.sweep(now, usize::MAX, &mut follows);
-    directory.taken();
+    directory.finish_list();
     follows
 }
 
@@ -154,12 +159,12 @@
             me: member,
             member_count: members,
             keys: duties.keys.clone(),
-            timing: detector_timing(duties.lease),
+            timing: detector_timing(duties.lease_duration),
         };
         let membership = Membership::new(seen, now.0 + life, entropy, now);
         let mut settings = settings(members, member);
-        let hold_back = Micros(duties.lease.0 * 3);
-        let class = add_probe_class(&mut settings, Micros(duties.probe.patience.0 * 2), hold_back);
+        let hold_back = Micros(duties.lease_duration.0 * 3);
+        let class = add_probe_class(&mut settings, Micros(duties.probe.timeout.0 * 2), hold_back);
         let mut ledger = Ledger::new(settings, NameIndex::default(), Default::default(), entropy);
         let (peers, to_peers) = bounded((4 * usize::from(members)).max(1024));
         let (list, to_list) = bounded(64);
@@ -309,7 +314,7 @@
     }
 
     /// Takes a list. It is in force if the directory has what the version added.
-    fn take(&mut self, now: Micros, list: &List, results: &mut Results) {
+    fn take(&mut self, now: Micros, list: &EndpointList, results: &mut Results) {
         let follows = take(&mut self.directory, now, list);
         if !follows.entries.is_empty() {
             self.ledger.on_list_event(now, Event::CachedEntries(follows.entries));
--- a/lab/src/scale/listing.rs
+++ b/lab/src/scale/listing.rs
@@ -31,8 +31,8 @@
         let part = list::parse(&text(FIRST_GENERATION, false, lines), &names)?;
         take(&mut directory, Micros(1), &part);
     }
-    if directory.listed() as u64 != listed {
-        return Err(format!("{} of {listed} endpoints found a place", directory.listed()));
+    if directory.listed_endpoint_count() as u64 != listed {
+        return Err(format!("{} of {listed} endpoints found a place", directory.listed_endpoint_count()));
     }
     Ok(Held { mb: resident()?.saturating_sub(before) as f64 / 1e6, directory })
 }
--- a/preload/src/lib.rs
+++ b/preload/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod plan;
 
 use libc::{c_int, c_void, clockid_t, off_t, size_t, ssize_t, timespec};
-use plan::{Plan, WriteFault};
+use plan::{FaultPlan, WriteFault};
 use std::ffi::CString;
 use std::path::PathBuf;
 use std::sync::OnceLock;
@@ -26,7 +26,7 @@
 }
 
 /// The plan, if it is about the file behind this descriptor.
-fn plan_for(fd: c_int) -> Option<Plan> {
+fn plan_for(fd: c_int) -> Option<FaultPlan> {
     let file = plan_file()?;
     // Terminals and sockets need no look at the plan.
     if fd <= 2 {
@@ -81,7 +81,7 @@
             fail(libc::ENOSPC);
             return -1;
         }
-        Some(WriteFault::Fails(errno)) => {
+        Some(WriteFault::Errno(errno)) => {
             hit("write");
             fail(errno);
             return -1;
--- a/preload/src/plan.rs
+++ b/preload/src/plan.rs
@@ -4,14 +4,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteFault {
     /// With this error.
-    Fails(i32),
+    Errno(i32),
     /// Half of it is written, and the next one fails.
     Short,
 }
 
 /// What is to fail.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Plan {
+pub struct FaultPlan {
     /// Writes to files whose path holds `path` fail so.
     pub write: Option<WriteFault>,
     /// Truncations of such files fail, too.
@@ -24,8 +24,8 @@
 ///
 /// # Errors
 /// One line with the number of the line, its key and what is wrong.
-pub fn parse(text: &str) -> Result<Plan, String> {
-    let mut plan = Plan::default();
+pub fn parse(text: &str) -> Result<FaultPlan, String> {
+    let mut plan = FaultPlan::default();
     for (at, line) in text.lines().enumerate() {
         let line = line.split('#').next().unwrap_or("").trim();
         if line.is_empty() {
@@ -50,8 +50,8 @@
 
 fn fault(name: &str) -> Option<WriteFault> {
     match name {
-        "ENOSPC" => Some(WriteFault::Fails(libc::ENOSPC)),
-        "EIO" => Some(WriteFault::Fails(libc::EIO)),
+        "ENOSPC" => Some(WriteFault::Errno(libc::ENOSPC)),
+        "EIO" => Some(WriteFault::Errno(libc::EIO)),
         "short" => Some(WriteFault::Short),
         _ => None,
     }
--- a/preload/tests/plan.rs
+++ b/preload/tests/plan.rs
@@ -1,14 +1,14 @@
 //! Plans of faults are read or refused with one line.
 
-use onyxrock_preload::plan::{Plan, WriteFault, parse};
+use onyxrock_preload::plan::{FaultPlan, WriteFault, parse};
 
 #[test]
 fn a_plan_says_what_fails() {
     let plan =
         parse("write = \"ENOSPC\"  # a full disk\npath = \"onyxrock.log\"\ntruncate = true\n").unwrap();
-    let write = Some(WriteFault::Fails(28));
-    assert_eq!(plan, Plan { write, truncate: true, path: "onyxrock.log".into() });
-    assert_eq!(parse("").unwrap(), Plan::default());
+    let write = Some(WriteFault::Errno(28));
+    assert_eq!(plan, FaultPlan { write, truncate: true, path: "onyxrock.log".into() });
+    assert_eq!(parse("").unwrap(), FaultPlan::default());
 }
 
 #[test]
--- a/roster/src/directory.rs
+++ b/roster/src/directory.rs
@@ -1,8 +1,8 @@
 //! Which endpoints are listed, which of them are in use, and what is to be done about a change.
 
-use crate::awake::Awake;
-use crate::memory::{Memories, Terms, Whose};
-use crate::table::{Change, Endpoint, Id, Refused, Roster};
+use crate::awake::ActiveDestinations;
+use crate::memory::{HealthDecay, HealthKey, HealthStore};
+use crate::table::{Change, Endpoint, EndpointTable, EntryError, RosterId};
 use hashbrown::HashMap;
 use onyxrock::interface::{
     DestinationId, EntryState, KindId, ListEntry, Micros, ReceiverId, RetainedHealth, ZoneId,
@@ -20,20 +20,20 @@
 
 /// What a directory is made with.
 #[derive(Clone, Debug)]
-pub struct Rules {
+pub struct DirectorySettings {
     /// Endpoints that the list may name; while one whole list follows another, both are held.
-    pub most: usize,
+    pub max_endpoints: usize,
     /// Unused so long, a destination may rest; never, where there is none.
-    pub rest: Option<Micros>,
+    pub deactivate_after: Option<Micros>,
     /// How what was learned ages.
-    pub terms: Terms,
+    pub health_decay: HealthDecay,
     /// Numbers of zones by name.
     pub zones: BTreeMap<String, usize>,
 }
 
 /// An endpoint in use.
 #[derive(Clone, PartialEq, Debug)]
-pub struct Peer {
+pub struct ActiveEndpoint {
     /// Its name, by which other processes know it.
     pub name: String,
     /// Its zone.
@@ -43,61 +43,61 @@
     /// Where it is.
     pub address: SocketAddr,
     /// When the list, or an operator, told that it drains or is gone.
-    pub drains: Option<Micros>,
+    pub draining_since: Option<Micros>,
     /// The list does not name it any more, or as gone.
     pub(crate) gone: bool,
     /// No list names it, and it stays.
     pub(crate) fixed: bool,
     /// Calls that it has and has not told the end of.
-    pub out: usize,
+    pub calls_in_flight: usize,
     /// It told that nothing may go there before.
     wait_until: Micros,
 }
 
 /// Something for the caller to carry out at an endpoint.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Order {
+pub enum EndpointCommand {
     /// It comes into use.
     Open(ReceiverId, SocketAddr),
     /// Nothing new will go there: close the connections that are idle.
     CloseIdle(ReceiverId),
     /// It has another address now.
-    Moved(ReceiverId, SocketAddr),
+    AddressChanged(ReceiverId, SocketAddr),
     /// It is in use no more, and nothing is out there.
     Close(ReceiverId),
 }
 
 /// What follows from a change: orders for the endpoints in use, and what the module is told of them.
 #[derive(Clone, Debug, Default)]
-pub struct Follows {
+pub struct DirectoryOutput {
     /// In the order in which they are to be carried out.
-    pub orders: Vec<Order>,
+    pub commands: Vec<EndpointCommand>,
     /// Changed lines of the list.
     pub entries: Vec<ListEntry>,
     /// What is still known of those among them that come into use.
-    pub recalled: Vec<(ReceiverId, RetainedHealth)>,
+    pub restored_health: Vec<(ReceiverId, RetainedHealth)>,
     /// Those among them that operators have put back: they were restarted, and are cold.
     pub restarted: Vec<ReceiverId>,
 }
 
 /// What is known of a destination that wakes.
 #[derive(Clone, Debug, Default)]
-pub struct Woken {
+pub struct ActivatedDestination {
     /// Of itself.
-    pub whole: RetainedHealth,
+    pub health: RetainedHealth,
     /// Its endpoints, and what is known of each.
-    pub each: Vec<(ListEntry, RetainedHealth)>,
+    pub endpoints: Vec<(ListEntry, RetainedHealth)>,
 }
 
 /// Whether something may be taken on for a destination.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Standing {
+pub enum DestinationStatus {
     /// It is listed, or in use.
-    Here,
+    Known,
     /// No list has ever been had.
     NoList,
     /// The list does not name it any more, as of late: it may come back.
-    Left,
+    RecentlyRemoved,
     /// No list has named it.
     Unknown,
 }
@@ -105,11 +105,11 @@
 /// All endpoints: the listed in a [`Roster`], those in use as [`Peer`]s with numbers that the module knows.
 #[derive(Debug)]
 pub struct Directory {
-    rules: Rules,
-    pub(crate) roster: Roster,
-    awake: Awake,
-    memories: Memories,
-    pub(crate) peers: BTreeMap<ReceiverId, Peer>,
+    rules: DirectorySettings,
+    pub(crate) roster: EndpointTable,
+    awake: ActiveDestinations,
+    memories: HealthStore,
+    pub(crate) peers: BTreeMap<ReceiverId, ActiveEndpoint>,
     /// Numbers by name. One that is gone keeps its number for a while: the module still knows of waits there.
     pub(crate) numbers: HashMap<String, ReceiverId>,
     /// Endpoints that operators have taken out of use, by name: they count as draining, whatever the list says.
@@ -135,12 +135,12 @@
 impl Directory {
     /// An empty one.
     #[must_use]
-    pub fn new(rules: Rules) -> Directory {
+    pub fn new(rules: DirectorySettings) -> Directory {
         Directory {
             // A whole list is taken before what it does not name goes.
-            roster: Roster::new(rules.most.saturating_mul(2)),
-            awake: Awake::new(rules.rest),
-            memories: Memories::new(rules.terms),
+            roster: EndpointTable::new(rules.max_endpoints.saturating_mul(2)),
+            awake: ActiveDestinations::new(rules.deactivate_after),
+            memories: HealthStore::new(rules.health_decay),
             peers: BTreeMap::new(),
             numbers: HashMap::new(),
             maintenance: BTreeSet::new(),
@@ -160,27 +160,27 @@
 
     /// Endpoints that the list names.
     #[must_use]
-    pub fn listed(&self) -> usize {
+    pub fn listed_endpoint_count(&self) -> usize {
         self.roster.len()
     }
     /// Destinations that are in use.
     #[must_use]
-    pub fn awake(&self) -> usize {
+    pub fn active_destination_count(&self) -> usize {
         self.awake.len()
     }
     /// Endpoints that are in use.
     #[must_use]
-    pub fn peers(&self) -> &BTreeMap<ReceiverId, Peer> {
+    pub fn active_endpoints(&self) -> &BTreeMap<ReceiverId, ActiveEndpoint> {
         &self.peers
     }
     /// One of them.
     #[must_use]
-    pub fn peer(&self, to: ReceiverId) -> Option<&Peer> {
+    pub fn active_endpoint(&self, to: ReceiverId) -> Option<&ActiveEndpoint> {
         self.peers.get(&to)
     }
     /// The number of one that is in use, or was a moment ago.
     #[must_use]
-    pub fn number_of(&self, name: &str) -> Option<ReceiverId> {
+    pub fn receiver_id(&self, name: &str) -> Option<ReceiverId> {
         self.numbers.get(name).copied()
     }
     /// The destination of an endpoint that the list names.
@@ -190,55 +190,55 @@
     }
     /// What is kept of those at rest.
     #[must_use]
-    pub fn memories(&self) -> &Memories {
+    pub fn health_store(&self) -> &HealthStore {
         &self.memories
     }
     /// The same, to put back what an earlier process kept.
-    pub fn memories_mut(&mut self) -> &mut Memories {
+    pub fn health_store_mut(&mut self) -> &mut HealthStore {
         &mut self.memories
     }
     /// A list has been had.
     #[must_use]
-    pub fn had_list(&self) -> bool {
+    pub fn has_received_list(&self) -> bool {
         self.had_list
     }
 
     /// Whether something may be taken on for a destination.
     #[must_use]
-    pub fn standing(&self, now: Micros, destination: u64) -> Standing {
-        if self.roster.lists(destination) || self.awake.contains(destination) {
-            Standing::Here
+    pub fn destination_status(&self, now: Micros, destination: u64) -> DestinationStatus {
+        if self.roster.has_destination(destination) || self.awake.contains(destination) {
+            DestinationStatus::Known
         } else if !self.had_list {
-            Standing::NoList
+            DestinationStatus::NoList
         } else if self.left.get(&destination).is_some_and(|until| *until > now) {
-            Standing::Left
+            DestinationStatus::RecentlyRemoved
         } else {
-            Standing::Unknown
+            DestinationStatus::Unknown
         }
     }
 
     /// A call goes to an endpoint.
-    pub fn goes(&mut self, to: ReceiverId) {
+    pub fn call_started(&mut self, to: ReceiverId) {
         if let Some(p) = self.peers.get_mut(&to) {
-            p.out += 1;
+            p.calls_in_flight += 1;
         }
     }
     /// A call there has ended.
-    pub fn ended(&mut self, to: ReceiverId) {
+    pub fn call_ended(&mut self, to: ReceiverId) {
         if let Some(p) = self.peers.get_mut(&to) {
-            p.out = p.out.saturating_sub(1);
+            p.calls_in_flight = p.calls_in_flight.saturating_sub(1);
         }
     }
 
     /// An endpoint told that nothing may go there before: its name is known by the same number until then.
-    pub fn told(&mut self, to: ReceiverId, until: Micros) {
+    pub fn on_retry_after(&mut self, to: ReceiverId, until: Micros) {
         if let Some(p) = self.peers.get_mut(&to) {
             p.wait_until = p.wait_until.max(until);
         }
     }
 
     /// Endpoints in use that told a wait which is not over, and until when.
-    pub fn waits(&self, now: Micros) -> impl Iterator<Item = (&str, Micros)> {
+    pub fn pending_retry_afters(&self, now: Micros) -> impl Iterator<Item = (&str, Micros)> {
         let waits = self.peers.values().filter(move |p| p.wait_until > now && !p.fixed);
         waits.map(|p| (p.name.as_str(), p.wait_until))
     }
@@ -249,22 +249,22 @@
     }
 
     /// An endpoint that no list names and that stays in use.
-    pub fn fix(&mut self, now: Micros, e: &Endpoint<'_>) -> (ReceiverId, ListEntry) {
+    pub fn add_fixed(&mut self, now: Micros, e: &Endpoint<'_>) -> (ReceiverId, ListEntry) {
         let to = self.number();
         self.awake.touch(now, e.destination);
         self.fixed.insert(e.destination);
         let (name, zone) = (e.name.to_owned(), e.zone.to_owned());
         self.numbers.insert(format!("gateway {name}"), to);
         let (destination, address) = (e.destination, e.address);
-        let peer = Peer {
+        let peer = ActiveEndpoint {
             name,
             zone,
             destination,
             address,
-            drains: None,
+            draining_since: None,
             gone: false,
             fixed: true,
-            out: 0,
+            calls_in_flight: 0,
             wait_until: Micros(0),
         };
         self.peers.insert(to, peer);
@@ -281,11 +281,11 @@
 
     /// What the module is told of an endpoint: one that is ready and in maintenance, or drains elsewhere, drains.
     pub(crate) fn entry(&self, receiver: ReceiverId, e: &Endpoint<'_>) -> ListEntry {
-        let held_out = e.listing == EntryState::Ready
+        let held_out = e.state == EntryState::Ready
             && (self.maintenance.contains(e.name) || self.drained_elsewhere.contains_key(e.name));
         ListEntry {
             receiver,
-            state: if held_out { EntryState::Draining } else { e.listing },
+            state: if held_out { EntryState::Draining } else { e.state },
             destination: DestinationId(e.destination),
             kind: KindId(if e.kind == u16::MAX { usize::MAX } else { usize::from(e.kind) }),
             zone: ZoneId(self.rules.zones.get(e.zone).copied().unwrap_or(usize::MAX)),
@@ -294,18 +294,22 @@
     }
 
     /// A destination is used. What is known of it, if it was at rest.
-    pub fn touch(&mut self, now: Micros, destination: u64, follows: &mut Follows) -> Option<Woken> {
+    pub fn touch(
+        &mut self, now: Micros, destination: u64, follows: &mut DirectoryOutput,
+    ) -> Option<ActivatedDestination> {
         if !self.awake.touch(now, destination) {
             return None;
         }
-        let whole = self.memories.take(now, &Whose::Destination(destination));
-        let ids: Vec<_> = self.roster.of(destination).collect();
+        let whole = self.memories.take(now, &HealthKey::Destination(destination));
+        let ids: Vec<_> = self.roster.endpoints_of(destination).collect();
         let each = ids.into_iter().filter_map(|id| self.rouse(now, id, follows)).collect();
-        Some(Woken { whole, each })
+        Some(ActivatedDestination { health: whole, endpoints: each })
     }
 
     /// Brings an endpoint into use.
-    fn rouse(&mut self, now: Micros, id: Id, follows: &mut Follows) -> Option<(ListEntry, RetainedHealth)> {
+    fn rouse(
+        &mut self, now: Micros, id: RosterId, follows: &mut DirectoryOutput,
+    ) -> Option<(ListEntry, RetainedHealth)> {
         let e = self.roster.get(id)?;
         let known = self.numbers.get(e.name).copied();
         let to = known.unwrap_or(ReceiverId(self.last + 1));
@@ -314,15 +318,15 @@
         let drains = (entry.state != EntryState::Ready).then_some(Micros(0));
         let (name, zone) = (e.name.to_owned(), e.zone.to_owned());
         let (destination, address) = (e.destination, e.address);
-        let peer = Peer {
+        let peer = ActiveEndpoint {
             name: name.clone(),
             zone,
             destination,
             address,
-            drains,
+            draining_since: drains,
             gone: false,
             fixed: false,
-            out: 0,
+            calls_in_flight: 0,
             wait_until: Micros(0),
         };
         if known.is_none() {
@@ -333,31 +337,34 @@
             // It had not been let go yet.
             Some(p) => {
                 if p.address != address {
-                    follows.orders.push(Order::Moved(to, address));
+                    follows.commands.push(EndpointCommand::AddressChanged(to, address));
                 }
-                *p = Peer { out: p.out, wait_until: p.wait_until, ..peer };
+                *p = ActiveEndpoint { calls_in_flight: p.calls_in_flight, wait_until: p.wait_until, ..peer };
             }
             None => {
                 self.peers.insert(to, peer);
-                follows.orders.push(Order::Open(to, address));
+                follows.commands.push(EndpointCommand::Open(to, address));
             }
         }
-        Some((entry, self.memories.take(now, &Whose::Endpoint(name.into()))))
+        Some((entry, self.memories.take(now, &HealthKey::Endpoint(name.into()))))
     }
 
     /// A whole list follows.
-    pub fn begin(&mut self) {
+    pub fn begin_complete_list(&mut self) {
         self.whole = true;
-        self.roster.begin();
+        self.roster.begin_complete_list();
     }
 
     /// Takes an entry of the list.
     ///
     /// # Errors
     /// [`Refused`]: it has no place; all else is as before.
-    pub fn put(&mut self, now: Micros, e: Endpoint<'_>, follows: &mut Follows) -> Result<(), Refused> {
-        if !self.whole && self.roster.len() >= self.rules.most && self.roster.find(e.name).is_none() {
-            return Err(Refused::Full);
+    pub fn put(
+        &mut self, now: Micros, e: Endpoint<'_>, follows: &mut DirectoryOutput,
+    ) -> Result<(), EntryError> {
+        if !self.whole && self.roster.len() >= self.rules.max_endpoints && self.roster.find(e.name).is_none()
+        {
+            return Err(EntryError::Full);
         }
         if let Some(change) = self.roster.put(e)? {
             self.changed(now, change, follows);
@@ -367,7 +374,7 @@
 
     /// The entries have ended: looks at so many of those that are held for what a whole list did not name. True once
     /// all have been looked at.
-    pub fn sweep(&mut self, now: Micros, most: usize, follows: &mut Follows) -> bool {
+    pub fn sweep(&mut self, now: Micros, most: usize, follows: &mut DirectoryOutput) -> bool {
         let mut gone = Vec::new();
         let done = self.roster.sweep(most, &mut gone);
         self.whole &= !done;
@@ -378,11 +385,11 @@
     }
 
     /// A list has been taken to its end.
-    pub fn taken(&mut self) {
+    pub fn finish_list(&mut self) {
         self.had_list = true;
     }
 
-    fn changed(&mut self, now: Micros, change: Change, follows: &mut Follows) {
+    fn changed(&mut self, now: Micros, change: Change, follows: &mut DirectoryOutput) {
         let (Change::Added(id) | Change::Changed(id) | Change::Gone(id)) = change;
         let Some(e) = self.roster.get(id) else { return };
         let (destination, to) = (e.destination, self.numbers.get(e.name).copied());
@@ -393,10 +400,10 @@
                 let (before, name) = (p.destination, p.name.clone());
                 // All but its wait, which was told by whoever is there.
                 let wait = RetainedHealth { wait_until: p.wait_until, ..RetainedHealth::default() };
-                self.memories.keep(now, Whose::Endpoint(name.as_str().into()), wait);
+                self.memories.store(now, HealthKey::Endpoint(name.as_str().into()), wait);
                 self.leave(now, to, follows);
                 self.numbers.remove(&name);
-                if !self.roster.lists(before) {
+                if !self.roster.has_destination(before) {
                     self.departs(now, before);
                 }
                 if change == Change::Gone(id) {
@@ -411,7 +418,7 @@
                 if let Some(to) = to {
                     self.leave(now, to, follows);
                 }
-                if !self.roster.lists(destination) {
+                if !self.roster.has_destination(destination) {
                     self.departs(now, destination);
                 }
             }
@@ -421,10 +428,11 @@
                 let Some(p) = self.peers.get_mut(&to) else { return };
                 if p.address != address {
                     p.address = address;
-                    follows.orders.push(Order::Moved(to, address));
+                    follows.commands.push(EndpointCommand::AddressChanged(to, address));
                 }
                 p.zone = zone;
-                p.drains = if entry.state == EntryState::Ready { None } else { p.drains.or(Some(now)) };
+                p.draining_since =
+                    if entry.state == EntryState::Ready { None } else { p.draining_since.or(Some(now)) };
                 follows.entries.push(entry);
             }
             _ => self.added(now, id, destination, follows),
@@ -432,25 +440,25 @@
     }
 
     /// It is new to a destination: brought into use if that is.
-    fn added(&mut self, now: Micros, id: Id, destination: u64, follows: &mut Follows) {
+    fn added(&mut self, now: Micros, id: RosterId, destination: u64, follows: &mut DirectoryOutput) {
         self.left.remove(&destination);
         if self.awake.contains(destination)
             && let Some((entry, repute)) = self.rouse(now, id, follows)
         {
             // A route may come back under its name while others of its destination are in use.
             if repute != RetainedHealth::default() {
-                follows.recalled.push((entry.receiver, repute));
+                follows.restored_health.push((entry.receiver, repute));
             }
             follows.entries.push(entry);
         }
     }
 
     /// An endpoint in use is gone.
-    fn leave(&mut self, now: Micros, to: ReceiverId, follows: &mut Follows) {
+    fn leave(&mut self, now: Micros, to: ReceiverId, follows: &mut DirectoryOutput) {
         let Some(p) = self.peers.get_mut(&to).filter(|p| !p.gone && !p.fixed) else { return };
-        p.drains.get_or_insert(now);
+        p.draining_since.get_or_insert(now);
         p.gone = true;
-        follows.orders.push(Order::CloseIdle(to));
+        follows.commands.push(EndpointCommand::CloseIdle(to));
         follows.entries.push(ListEntry {
             receiver: to,
             state: EntryState::Gone,
@@ -483,16 +491,16 @@
 
     /// Lets go of endpoints that are gone: of the endpoint once nothing is out there and no call may still ask whether
     /// it may be written, of the number once the module has forgotten it too.
-    pub fn tidy(&mut self, now: Micros, follows: &mut Follows) {
+    pub fn release_gone_endpoints(&mut self, now: Micros, follows: &mut DirectoryOutput) {
         while let Some((at, to)) = self.leaving.first().copied().filter(|l| l.0 <= now) {
             self.leaving.remove(&(at, to));
             let Some(p) = self.peers.get(&to).filter(|p| p.gone) else { continue };
-            if p.out > 0 {
+            if p.calls_in_flight > 0 {
                 self.leaving.insert((now.plus(PEER_REST), to));
                 continue;
             }
             if let Some(p) = self.peers.remove(&to) {
-                follows.orders.push(Order::Close(to));
+                follows.commands.push(EndpointCommand::Close(to));
                 self.forget.insert((now.plus(FORGET).max(p.wait_until), p.name));
             }
         }
@@ -506,7 +514,7 @@
     }
 
     /// A destination that may rest, if its module can do without it.
-    pub fn tired(&mut self, now: Micros) -> Option<u64> {
+    pub fn next_idle(&mut self, now: Micros) -> Option<u64> {
         while let Some((until, destination)) = self.left_order.front().copied().filter(|l| l.0 <= now) {
             self.left_order.pop_front();
             if self.left.get(&destination) != Some(&until) {
@@ -520,7 +528,7 @@
             self.left.remove(&destination);
         }
         loop {
-            let destination = self.awake.tired(now)?;
+            let destination = self.awake.next_idle(now)?;
             if !self.fixed.contains(&destination) {
                 return Some(destination);
             }
@@ -528,25 +536,25 @@
     }
 
     /// The module has forgotten a destination, and this is what it was like.
-    pub fn rested(
+    pub fn deactivate(
         &mut self, now: Micros, destination: u64, whole: RetainedHealth,
-        each: &[(ReceiverId, RetainedHealth)], follows: &mut Follows,
+        each: &[(ReceiverId, RetainedHealth)], follows: &mut DirectoryOutput,
     ) {
-        self.memories.keep(now, Whose::Destination(destination), whole);
+        self.memories.store(now, HealthKey::Destination(destination), whole);
         for (to, repute) in each {
             if let Some(p) = self.peers.get(to) {
-                self.memories.keep(now, Whose::Endpoint(p.name.as_str().into()), *repute);
+                self.memories.store(now, HealthKey::Endpoint(p.name.as_str().into()), *repute);
             }
         }
-        for e in self.roster.of(destination).filter_map(|id| self.roster.get(id)) {
+        for e in self.roster.endpoints_of(destination).filter_map(|id| self.roster.get(id)) {
             if let Some(to) = self.numbers.remove(e.name)
                 && self.peers.remove(&to).is_some()
             {
-                follows.orders.push(Order::Close(to));
+                follows.commands.push(EndpointCommand::Close(to));
             }
         }
-        self.awake.rested(now, destination);
-        if !self.roster.lists(destination) {
+        self.awake.deactivate(now, destination);
+        if !self.roster.has_destination(destination) {
             self.left.remove(&destination);
         }
     }
--- a/roster/src/lib.rs
+++ b/roster/src/lib.rs
@@ -54,10 +54,13 @@
 mod staged;
 mod table;
 
-pub use awake::Awake;
-pub use directory::{Directory, Follows, Order, Peer, Rules, Standing, Woken};
+pub use awake::ActiveDestinations;
+pub use directory::{
+    ActivatedDestination, ActiveEndpoint, DestinationStatus, Directory, DirectoryOutput, DirectorySettings,
+    EndpointCommand,
+};
 pub use maintenance::UnknownEndpoint;
-pub use memory::{Memories, Memory, Terms, Whose};
-pub use snapshot::{Writer, read};
-pub use staged::{Block, Staged};
-pub use table::{Change, Endpoint, Id, Refused, Roster};
+pub use memory::{HealthDecay, HealthKey, HealthStore, StoredHealth};
+pub use snapshot::{SnapshotWriter, read_snapshot};
+pub use staged::{EntryBlock, StagedList};
+pub use table::{Change, Endpoint, EndpointTable, EntryError, RosterId};
--- a/roster/src/maintenance.rs
+++ b/roster/src/maintenance.rs
@@ -1,7 +1,7 @@
 //! Endpoints that operators take out of use for maintenance and put back. One that is out counts as draining until it is put
 //! back, whatever lists say of it meanwhile: that it is ready, gone, or back at another address.
 
-use crate::directory::{Directory, Follows};
+use crate::directory::{Directory, DirectoryOutput};
 use onyxrock::interface::{EntryState, ListEntry, Micros, ReceiverId};
 use std::collections::BTreeSet;
 
@@ -20,7 +20,7 @@
     ///
     /// # Errors
     /// [`UnknownEndpoint`].
-    pub fn known(&self, name: &str) -> Result<(), UnknownEndpoint> {
+    pub fn check_known(&self, name: &str) -> Result<(), UnknownEndpoint> {
         let known = self.maintenance.contains(name)
             || self.roster.find(name).is_some()
             || self.number_in_use(name).is_some();
@@ -28,7 +28,7 @@
     }
 
     /// Takes an endpoint out of use, or puts it back. Where it is in that state already nothing follows.
-    pub fn set_maintenance(&mut self, now: Micros, name: &str, out: bool, follows: &mut Follows) {
+    pub fn set_maintenance(&mut self, now: Micros, name: &str, out: bool, follows: &mut DirectoryOutput) {
         let changed =
             if out { self.maintenance.insert(name.to_owned()) } else { self.maintenance.remove(name) };
         let Some(to) = self.number_in_use(name).filter(|_| changed) else { return };
@@ -40,7 +40,9 @@
 
     /// Another process of this forwarder was told that an endpoint drains, by a list of this version: it counts as draining
     /// until the own list is as late.
-    pub fn drains_elsewhere(&mut self, now: Micros, name: &str, generation: u64, follows: &mut Follows) {
+    pub fn on_sibling_drain(
+        &mut self, now: Micros, name: &str, generation: u64, follows: &mut DirectoryOutput,
+    ) {
         self.drained_elsewhere.insert(name.to_owned(), generation);
         if let Some(to) = self.number_in_use(name) {
             self.refresh(now, to, name, follows);
@@ -48,7 +50,9 @@
     }
 
     /// The own list is of this version, or its source is another one, whose versions mean something else.
-    pub fn list_is_as_late_as(&mut self, now: Micros, generation: Option<u64>, follows: &mut Follows) {
+    pub fn on_list_generation(
+        &mut self, now: Micros, generation: Option<u64>, follows: &mut DirectoryOutput,
+    ) {
         let later = |told: &u64| generation.is_some_and(|generation| *told > generation);
         let over: Vec<_> =
             self.drained_elsewhere.iter().filter(|(_, told)| !later(told)).map(|(n, _)| n.clone()).collect();
@@ -62,18 +66,19 @@
 
     /// Endpoints in use that drain by the list.
     pub fn draining(&self) -> impl Iterator<Item = &str> {
-        let drains = self.peers.values().filter(|p| p.drains.is_some() && !p.fixed);
+        let drains = self.peers.values().filter(|p| p.draining_since.is_some() && !p.fixed);
         drains.map(|p| p.name.as_str()).filter(|name| !self.maintenance.contains(*name))
     }
 
     /// Says anew what an endpoint in use is.
     fn refresh(
-        &mut self, now: Micros, to: ReceiverId, name: &str, follows: &mut Follows,
+        &mut self, now: Micros, to: ReceiverId, name: &str, follows: &mut DirectoryOutput,
     ) -> Option<EntryState> {
         let entry = self.listed_entry(to, name)?;
         let listing = entry.state;
         if let Some(peer) = self.peers.get_mut(&to) {
-            peer.drains = if listing == EntryState::Ready { None } else { peer.drains.or(Some(now)) };
+            peer.draining_since =
+                if listing == EntryState::Ready { None } else { peer.draining_since.or(Some(now)) };
         }
         follows.entries.push(entry);
         Some(listing)
--- a/roster/src/snapshot.rs
+++ b/roster/src/snapshot.rs
@@ -1,7 +1,7 @@
 //! Memories as the blocks of a file: a head with a version, blocks with their length and checksum, and an end, so that
 //! a file that was cut off is known as one.
 
-use crate::memory::{Memory, Whose};
+use crate::memory::{HealthKey, StoredHealth};
 use onyxrock::interface::Micros;
 use serde::{Deserialize, Serialize};
 
@@ -16,7 +16,7 @@
 
 #[derive(Serialize, Deserialize)]
 struct Line {
-    whose: Whose,
+    whose: HealthKey,
     rested: u64,
     wait_until: u64,
     served: f32,
@@ -25,22 +25,22 @@
 
 /// Puts memories into a file of so many bytes at most, block by block; those that went to rest last come first.
 #[derive(Debug)]
-pub struct Writer {
-    left: std::vec::IntoIter<(Whose, Memory)>,
+pub struct SnapshotWriter {
+    left: std::vec::IntoIter<(HealthKey, StoredHealth)>,
     room: usize,
     begun: bool,
     ended: bool,
     /// Memories that found no room.
-    pub left_out: usize,
+    pub omitted: usize,
 }
 
-impl Writer {
+impl SnapshotWriter {
     /// For these.
     #[must_use]
-    pub fn new(mut all: Vec<(Whose, Memory)>, most: usize) -> Writer {
-        all.sort_unstable_by(|a, b| b.1.rested.cmp(&a.1.rested).then_with(|| a.0.cmp(&b.0)));
+    pub fn new(mut all: Vec<(HealthKey, StoredHealth)>, most: usize) -> SnapshotWriter {
+        all.sort_unstable_by(|a, b| b.1.deactivated_at.cmp(&a.1.deactivated_at).then_with(|| a.0.cmp(&b.0)));
         let room = most.saturating_sub(MAGIC.len() + 4 + FRAME);
-        Writer { left: all.into_iter(), room, begun: false, ended: false, left_out: 0 }
+        SnapshotWriter { left: all.into_iter(), room, begun: false, ended: false, omitted: 0 }
     }
 }
 
@@ -50,7 +50,7 @@
     out.extend(payload);
 }
 
-impl Iterator for Writer {
+impl Iterator for SnapshotWriter {
     type Item = Vec<u8>;
 
     /// The next bytes of the file; none after its end.
@@ -63,12 +63,12 @@
             out.extend(MAGIC);
             out.extend(VERSION.to_le_bytes());
         }
-        let line = |(whose, m): (Whose, Memory)| Line {
+        let line = |(whose, m): (HealthKey, StoredHealth)| Line {
             whose,
-            rested: m.rested.0,
+            rested: m.deactivated_at.0,
             wait_until: m.wait_until.0,
-            served: m.served,
-            sick: m.sick,
+            served: m.served_per_s,
+            sick: m.unhealthy,
         };
         let block: Vec<_> = self.left.by_ref().take(BLOCK).map(line).collect();
         let n = block.len();
@@ -78,7 +78,7 @@
             frame(&mut out, &payload);
         } else {
             // Older ones are worth less.
-            self.left_out = n + self.left.len();
+            self.omitted = n + self.left.len();
             self.left = Vec::new().into_iter();
         }
         if self.left.len() == 0 {
@@ -93,7 +93,7 @@
 ///
 /// # Errors
 /// What is wrong with it; then nothing of it is used.
-pub fn read(bytes: &[u8]) -> Result<Vec<(Whose, Memory)>, String> {
+pub fn read_snapshot(bytes: &[u8]) -> Result<Vec<(HealthKey, StoredHealth)>, String> {
     let rest = bytes.strip_prefix(MAGIC).ok_or("it is none of ours")?;
     let (version, mut rest) = rest.split_first_chunk::<4>().ok_or("it is cut off")?;
     match u32::from_le_bytes(*version) {
@@ -116,7 +116,15 @@
         let block: Vec<Line> = postcard::from_bytes(payload).map_err(|e| format!("a block: {e}"))?;
         all.extend(block.into_iter().map(|l| {
             let (rested, wait_until) = (Micros(l.rested), Micros(l.wait_until));
-            (l.whose, Memory { rested, wait_until, served: l.served, sick: l.sick })
+            (
+                l.whose,
+                StoredHealth {
+                    deactivated_at: rested,
+                    wait_until,
+                    served_per_s: l.served,
+                    unhealthy: l.sick,
+                },
+            )
         }));
     }
 }
@@ -125,36 +133,41 @@
 mod tests {
     use super::*;
 
-    fn some(n: u64) -> Vec<(Whose, Memory)> {
+    fn some(n: u64) -> Vec<(HealthKey, StoredHealth)> {
         let whose = |i| match i % 2 {
-            0 => Whose::Destination(i),
-            _ => Whose::Endpoint(format!("e-{i}").into()),
+            0 => HealthKey::Destination(i),
+            _ => HealthKey::Endpoint(format!("e-{i}").into()),
+        };
+        let m = |i| StoredHealth {
+            deactivated_at: Micros(i),
+            wait_until: Micros(7 * i),
+            served_per_s: 1.5,
+            unhealthy: i % 3 == 0,
         };
-        let m = |i| Memory { rested: Micros(i), wait_until: Micros(7 * i), served: 1.5, sick: i % 3 == 0 };
         (0..n).map(|i| (whose(i), m(i))).collect()
     }
 
-    fn file(all: Vec<(Whose, Memory)>, most: usize) -> (Vec<u8>, usize) {
-        let mut w = Writer::new(all, most);
+    fn file(all: Vec<(HealthKey, StoredHealth)>, most: usize) -> (Vec<u8>, usize) {
+        let mut w = SnapshotWriter::new(all, most);
         let mut bytes = Vec::new();
         for part in w.by_ref() {
             bytes.extend(part);
         }
-        (bytes, w.left_out)
+        (bytes, w.omitted)
     }
 
     #[test]
     fn what_went_in_comes_out_and_the_last_to_rest_have_room_first() {
         for n in [0, 1, 256, 257, 1000] {
-            let mut all = read(&file(some(n), 1 << 20).0).unwrap();
+            let mut all = read_snapshot(&file(some(n), 1 << 20).0).unwrap();
             all.reverse();
             assert_eq!(all, some(n));
         }
         let (bytes, left_out) = file(some(1000), 9000);
-        let kept = read(&bytes).unwrap();
+        let kept = read_snapshot(&bytes).unwrap();
         assert!(bytes.len() <= 9000 && left_out == 1000 - kept.len() && kept.len() >= 256, "{left_out}");
-        assert_eq!(kept[0].1.rested, Micros(999));
-        assert!(read(&file(some(9), 0).0).unwrap().is_empty(), "no room at all");
+        assert_eq!(kept[0].1.deactivated_at, Micros(999));
+        assert!(read_snapshot(&file(some(9), 0).0).unwrap().is_empty(), "no room at all");
     }
 
     /// Every cut and every flipped bit is found; nothing of such a file is used, and nothing panics.
@@ -162,16 +175,16 @@
     fn a_damaged_file_is_known_as_one() {
         let bytes = file(some(300), 1 << 20).0;
         for cut in 0..bytes.len() {
-            assert!(read(&bytes[..cut]).is_err(), "{cut}");
+            assert!(read_snapshot(&bytes[..cut]).is_err(), "{cut}");
         }
         for at in 0..bytes.len() {
             let mut other = bytes.clone();
             other[at] ^= 1 << (at % 8);
-            assert!(read(&other).is_err(), "{at}");
+            assert!(read_snapshot(&other).is_err(), "{at}");
         }
-        assert!(read(&[&bytes[..], b"x"].concat()).is_err());
+        assert!(read_snapshot(&[&bytes[..], b"x"].concat()).is_err());
         let mut later = bytes;
         later[8] = 2;
-        assert_eq!(read(&later).unwrap_err(), "its version is 2, not 1");
+        assert_eq!(read_snapshot(&later).unwrap_err(), "its version is 2, not 1");
     }
 }
--- a/roster/src/table.rs
+++ b/roster/src/table.rs
@@ -8,7 +8,7 @@
 
 /// An endpoint's record. It names the same endpoint until that is gone and swept; then it may name another.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
-pub struct Id(u32);
+pub struct RosterId(u32);
 
 /// One endpoint, as the list states it.
 #[derive(Clone, PartialEq, Debug)]
@@ -26,27 +26,27 @@
     /// Calls a second that its destination takes, roughly.
     pub weight: f32,
     /// Its state.
-    pub listing: EntryState,
+    pub state: EntryState,
 }
 
 /// What a [`Roster::put`] or a sweep changed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Change {
     /// It was not here.
-    Added(Id),
+    Added(RosterId),
     /// Its state, address, zone, kind or weight is another.
-    Changed(Id),
+    Changed(RosterId),
     /// The list no longer names it, or names it as gone. Its record is as it was until [`Roster::remove`].
-    Gone(Id),
+    Gone(RosterId),
 }
 
 /// An entry was not taken; the table is as before.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Refused {
+pub enum EntryError {
     /// The table holds as many as it may.
     Full,
     /// Its name is too long, or there are more zones than a list can mean.
-    Shape,
+    OutOfBounds,
 }
 
 const NONE: u32 = u32::MAX;
@@ -76,7 +76,7 @@
 
 /// All endpoints that the list names.
 #[derive(Debug)]
-pub struct Roster {
+pub struct EndpointTable {
     most: usize,
     records: Slab<Record>,
     names: Vec<u8>,
@@ -93,11 +93,11 @@
     sweep: Option<usize>,
 }
 
-impl Roster {
+impl EndpointTable {
     /// An empty table for so many endpoints at most.
     #[must_use]
-    pub fn new(most: usize) -> Roster {
-        Roster {
+    pub fn new(most: usize) -> EndpointTable {
+        EndpointTable {
             most: most.min(NONE as usize - 1),
             records: Slab::new(),
             names: Vec::new(),
@@ -125,7 +125,7 @@
 
     /// Bytes that all this takes, allocated or not yet used.
     #[must_use]
-    pub fn bytes(&self) -> usize {
+    pub fn memory_bytes(&self) -> usize {
         let zones: usize = self.zones.iter().map(|z| z.len() + size_of::<Box<str>>()).sum();
         self.records.capacity() * size_of::<Option<Record>>()
             + self.names.capacity()
@@ -141,7 +141,7 @@
         std::str::from_utf8(bytes).unwrap_or_default()
     }
 
-    fn record(&self, id: Id) -> Option<&Record> {
+    fn record(&self, id: RosterId) -> Option<&Record> {
         self.records.get(id.0 as usize)
     }
 
@@ -155,14 +155,14 @@
 
     /// The record of a name.
     #[must_use]
-    pub fn find(&self, name: &str) -> Option<Id> {
+    pub fn find(&self, name: &str) -> Option<RosterId> {
         let same = |i: &u32| self.name_of(&self.records[*i as usize]) == name;
-        self.by_name.find(self.hash.hash_one(name), same).map(|i| Id(*i))
+        self.by_name.find(self.hash.hash_one(name), same).map(|i| RosterId(*i))
     }
 
     /// What a record says.
     #[must_use]
-    pub fn get(&self, id: Id) -> Option<Endpoint<'_>> {
+    pub fn get(&self, id: RosterId) -> Option<Endpoint<'_>> {
         let r = self.record(id)?;
         Some(Endpoint {
             name: self.name_of(r),
@@ -171,7 +171,7 @@
             kind: r.kind,
             destination: r.destination,
             weight: r.weight,
-            listing: r.listing,
+            state: r.listing,
         })
     }
 
@@ -182,25 +182,25 @@
 
     /// The list names this destination.
     #[must_use]
-    pub fn lists(&self, destination: u64) -> bool {
+    pub fn has_destination(&self, destination: u64) -> bool {
         self.first(destination).is_some()
     }
 
     /// The records of a destination, in no order.
-    pub fn of(&self, destination: u64) -> impl Iterator<Item = Id> + '_ {
+    pub fn endpoints_of(&self, destination: u64) -> impl Iterator<Item = RosterId> + '_ {
         let next = |i: &u32| Some(self.records[*i as usize].next).filter(|n| *n != NONE);
-        std::iter::successors(self.first(destination), next).map(Id)
+        std::iter::successors(self.first(destination), next).map(RosterId)
     }
 
-    fn zone(&mut self, name: &str) -> Result<u16, Refused> {
+    fn zone(&mut self, name: &str) -> Result<u16, EntryError> {
         let known = self.zones.iter().position(|z| &**z == name);
         if known.is_none() {
             if self.zones.len() >= ZONES_MOST {
-                return Err(Refused::Shape);
+                return Err(EntryError::OutOfBounds);
             }
             self.zones.push(name.into());
         }
-        u16::try_from(known.unwrap_or(self.zones.len() - 1)).map_err(|_| Refused::Shape)
+        u16::try_from(known.unwrap_or(self.zones.len() - 1)).map_err(|_| EntryError::OutOfBounds)
     }
 
     fn pack(&mut self, ip: IpAddr) -> (u32, bool) {
@@ -215,17 +215,17 @@
     ///
     /// # Errors
     /// [`Refused`]: the table is as before.
-    pub fn put(&mut self, e: Endpoint<'_>) -> Result<Option<Change>, Refused> {
+    pub fn put(&mut self, e: Endpoint<'_>) -> Result<Option<Change>, EntryError> {
         let epoch = self.epoch;
         if let Some(id) = self.find(e.name) {
             return self.update(id, &e, epoch);
         }
-        if e.listing == EntryState::Gone {
+        if e.state == EntryState::Gone {
             return Ok(None);
         }
-        let name_len = u16::try_from(e.name.len()).map_err(|_| Refused::Shape)?;
+        let name_len = u16::try_from(e.name.len()).map_err(|_| EntryError::OutOfBounds)?;
         if self.records.len() >= self.most || self.names.len() + e.name.len() > NONE as usize {
-            return Err(Refused::Full);
+            return Err(EntryError::Full);
         }
         let zone = self.zone(e.zone)?;
         let (ip, v6) = self.pack(e.address.ip());
@@ -243,10 +243,10 @@
             zone,
             kind: e.kind,
             v6,
-            listing: e.listing,
+            listing: e.state,
         };
         let at = self.records.insert(record) as u32;
-        let Roster { by_name, records, names, hash, .. } = self;
+        let EndpointTable { by_name, records, names, hash, .. } = self;
         let hash_of = |i: &u32| {
             let r = &records[*i as usize];
             let from = r.name_at as usize;
@@ -256,10 +256,10 @@
         };
         by_name.insert_unique(hash.hash_one(e.name), at, hash_of);
         self.join(at);
-        Ok(Some(Change::Added(Id(at))))
+        Ok(Some(Change::Added(RosterId(at))))
     }
 
-    fn update(&mut self, id: Id, e: &Endpoint<'_>, epoch: u32) -> Result<Option<Change>, Refused> {
+    fn update(&mut self, id: RosterId, e: &Endpoint<'_>, epoch: u32) -> Result<Option<Change>, EntryError> {
         let (known, destination) = match self.get(id) {
             Some(known) => (known == *e, known.destination),
             None => return Ok(None),
@@ -281,8 +281,8 @@
             (self.records[at].ip, self.records[at].v6) = self.pack(e.address.ip());
         }
         let r = &mut self.records[at];
-        (r.port, r.zone, r.kind, r.weight, r.listing) = (e.address.port(), zone, e.kind, e.weight, e.listing);
-        let gone = e.listing == EntryState::Gone;
+        (r.port, r.zone, r.kind, r.weight, r.listing) = (e.address.port(), zone, e.kind, e.weight, e.state);
+        let gone = e.state == EntryState::Gone;
         Ok(if gone && was_gone {
             None
         } else {
@@ -300,7 +300,7 @@
     /// Puts a record first among those of its destination.
     fn join(&mut self, at: u32) {
         let destination = self.records[at as usize].destination;
-        let Roster { by_destination, records, hash, .. } = self;
+        let EndpointTable { by_destination, records, hash, .. } = self;
         let key = hash.hash_one(destination);
         match by_destination.find_mut(key, |i| records[*i as usize].destination == destination) {
             // Behind the first, which the table keeps.
@@ -318,7 +318,7 @@
 
     fn leave(&mut self, at: u32) {
         let (destination, next) = (self.records[at as usize].destination, self.records[at as usize].next);
-        let Roster { by_destination, records, hash, .. } = self;
+        let EndpointTable { by_destination, records, hash, .. } = self;
         let key = hash.hash_one(destination);
         let Ok(mut found) =
             by_destination.find_entry(key, |i| records[*i as usize].destination == destination)
@@ -343,9 +343,9 @@
     }
 
     /// Forgets an endpoint. Its record may name another from now on.
-    pub fn remove(&mut self, id: Id) {
+    pub fn remove(&mut self, id: RosterId) {
         let Some(r) = self.record(id).copied() else { return };
-        let Roster { by_name, names, hash, .. } = self;
+        let EndpointTable { by_name, names, hash, .. } = self;
         let from = r.name_at as usize;
         let name = &names[from..from + usize::from(r.name_len)];
         let key = hash.hash_one(std::str::from_utf8(name).unwrap_or_default());
@@ -374,7 +374,7 @@
     }
 
     /// A whole list follows, by [`Roster::put`].
-    pub fn begin(&mut self) {
+    pub fn begin_complete_list(&mut self) {
         self.epoch = self.epoch.wrapping_add(1);
         self.sweep = Some(0);
     }
@@ -389,7 +389,7 @@
             let Some(r) = self.records.get_mut(at) else { continue };
             if r.epoch != self.epoch && r.listing != EntryState::Gone {
                 r.listing = EntryState::Gone;
-                gone.push(Change::Gone(Id(at as u32)));
+                gone.push(Change::Gone(RosterId(at as u32)));
             }
         }
         self.sweep = Some(to).filter(|to| *to < self.records.capacity());
--- a/roster/tests/model.rs
+++ b/roster/tests/model.rs
@@ -1,7 +1,7 @@
 //! The table against a plain map, through any order of lists, changes, removals and slices of a sweep.
 
 use onyxrock::interface::EntryState;
-use onyxrock_roster::{Change, Endpoint, Refused, Roster};
+use onyxrock_roster::{Change, Endpoint, EndpointTable, EntryError};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
         kind: p.kind,
         destination: p.destination,
         weight: p.weight,
-        listing: p.listing,
+        state: p.listing,
     }
 }
 
@@ -69,7 +69,7 @@
 }
 
 struct Both {
-    roster: Roster,
+    roster: EndpointTable,
     map: BTreeMap<String, Plain>,
 }
 
@@ -80,7 +80,7 @@
         let before = self.map.get(&name).cloned();
         let want = match &before {
             None if p.listing == EntryState::Gone => Ok(None),
-            None if self.map.len() >= MOST => Err(Refused::Full),
+            None if self.map.len() >= MOST => Err(EntryError::Full),
             Some(b) if b == p => Ok(None),
             Some(b) if b.listing == EntryState::Gone && p.listing == EntryState::Gone => Ok(None),
             Some(_) if p.listing == EntryState::Gone => Ok(Some('g')),
@@ -107,10 +107,11 @@
             by.entry(p.destination).or_default().insert(name);
         }
         for d in 0..6 {
-            let got: Vec<_> = self.roster.of(d).map(|id| self.roster.get(id).unwrap().name).collect();
+            let got: Vec<_> =
+                self.roster.endpoints_of(d).map(|id| self.roster.get(id).unwrap().name).collect();
             let want = by.get(&d).cloned().unwrap_or_default();
             assert_eq!((got.len(), got.into_iter().collect::<BTreeSet<_>>()), (want.len(), want.clone()));
-            assert_eq!(self.roster.lists(d), !want.is_empty());
+            assert_eq!(self.roster.has_destination(d), !want.is_empty());
         }
     }
 }
@@ -121,7 +122,7 @@
 
     #[test]
     fn it_says_what_a_plain_map_says(steps in proptest::collection::vec(step(), 1..60)) {
-        let mut both = Both { roster: Roster::new(MOST), map: BTreeMap::new() };
+        let mut both = Both { roster: EndpointTable::new(MOST), map: BTreeMap::new() };
         for s in steps {
             match s {
                 Step::Put(n, p) => both.put(n, &p),
@@ -133,7 +134,7 @@
                     both.map.remove(&name(n));
                 }
                 Step::Whole(list, slice) => {
-                    both.roster.begin();
+                    both.roster.begin_complete_list();
                     for (n, p) in &list {
                         both.put(*n, p);
                     }
@@ -156,23 +157,30 @@
 /// 200,000 names come and go through a table of 50,000: what is gone leaves nothing behind.
 #[test]
 fn memory_is_flat_while_names_come_and_go() {
-    let mut roster = Roster::new(50_000);
-    let put = |roster: &mut Roster, i: u32| {
+    let mut roster = EndpointTable::new(50_000);
+    let put = |roster: &mut EndpointTable, i: u32| {
         let (name, address) = (format!("club-endpoint-{i:08}"), SocketAddr::from((i.to_be_bytes(), 7070)));
         let destination = u64::from(i);
         let listing = EntryState::Ready;
-        let e =
-            Endpoint { name: &name, address, zone: "floor-2", kind: 1, destination, weight: 2.0, listing };
+        let e = Endpoint {
+            name: &name,
+            address,
+            zone: "floor-2",
+            kind: 1,
+            destination,
+            weight: 2.0,
+            state: listing,
+        };
         roster.put(e).unwrap();
     };
     (0..50_000).for_each(|i| put(&mut roster, i));
-    let first = roster.bytes();
+    let first = roster.memory_bytes();
     for i in 50_000..200_000 {
         let old = roster.find(&format!("club-endpoint-{:08}", i - 50_000)).unwrap();
         roster.remove(old);
         put(&mut roster, i);
     }
-    let (each, last) = (first / 50_000, roster.bytes());
+    let (each, last) = (first / 50_000, roster.memory_bytes());
     println!("{each} bytes each, {first} at first, {last} at last");
     assert!(each <= 120 && last <= first * 2, "{each} {first} {last}");
 }
--- a/sharing/src/duty_runner.rs
+++ b/sharing/src/duty_runner.rs
@@ -8,7 +8,7 @@
 use async_channel::Sender;
 use onyxrock::core::Ledger;
 use onyxrock::interface::{ClassId, DestinationId, Micros};
-use onyxrock_config::duties::{Duties, Member as Named};
+use onyxrock_config::duties::{DutySettings, NamedMember as Named};
 use onyxrock_duties::{Duty, DutyKind, DutyTable, Epoch, Fence, LeaseTerms, Member, Output, StoredBound};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -74,22 +74,25 @@
     /// `keep` made last in an earlier process.
     #[expect(clippy::too_many_arguments, reason = "each is another part of the program, handed over once")]
     pub fn new(
-        d: &Duties, me: Member, boot: u64, now: Micros, class: ClassId, out: Sender<ToPeers>,
+        d: &DutySettings, me: Member, boot: u64, now: Micros, class: ClassId, out: Sender<ToPeers>,
         list: Sender<ToList>, memory: StoredBound, keep: Keep,
     ) -> DutyRunner {
         let gap = Micros::from_secs(SLACK / d.probe.per_s);
-        let terms = LeaseTerms { duration: d.lease, min_interval: gap, run_timeout: d.probe.patience };
-        let alone = d.probe.alone;
+        let terms =
+            LeaseTerms { duration: d.lease_duration, min_interval: gap, run_timeout: d.probe.timeout };
+        let alone = d.probe.without_leases;
         let book = match alone {
             true => DutyTable::new(Member(0), 1, 1, terms, boot, now, memory),
-            false => DutyTable::new(me, d.members.len() as u16, d.voters as u16, terms, boot, now, memory),
+            false => {
+                DutyTable::new(me, d.members.len() as u16, d.voter_count as u16, terms, boot, now, memory)
+            }
         };
         let path = d.probe.path.as_str().into();
         let (members, probes) = (d.members.clone(), BTreeMap::new());
-        let share = d.list && !alone;
+        let share = d.share_list && !alone;
         let list =
             share.then_some(ListDuty { to: list, role: ListRole::Standalone, heard: None, generation: None });
-        let leads = d.coordinator && !alone;
+        let leads = d.elect_coordinator && !alone;
         let (kept, leader, fence) = (0, None, Fence::default());
         let mut new = DutyRunner {
             book,
@@ -333,7 +336,7 @@
 }
 
 /// This instance's place among the members.
-pub fn member_by_name(d: &Duties, name: &str) -> Result<Member, String> {
+pub fn member_by_name(d: &DutySettings, name: &str) -> Result<Member, String> {
     let at = d.members.iter().position(|m| m.name == name);
     let at = at.and_then(|i| u16::try_from(i).ok()).map(Member);
     at.ok_or_else(|| format!("[duties]: \"{name}\", this instance, is none of the members"))
@@ -345,7 +348,7 @@
     use async_channel::{Receiver, bounded};
     use onyxrock::core::{NameIndex, add_probe_class};
     use onyxrock::interface::Settings;
-    use onyxrock_config::duties::Probe as Pace;
+    use onyxrock_config::duties::ProbeSettings as Pace;
     use onyxrock_membership::{Key, Keys};
 
     struct Rig {
@@ -365,14 +368,14 @@
     fn rig_after(members: u16, kept: Epoch) -> Rig {
         let named = |i| Named { name: format!("n{i}"), address: ([127, 0, 0, 1], 9).into() };
         let (patience, path) = (Micros(250_000), "/health".to_owned());
-        let duties = Duties {
+        let duties = DutySettings {
             listen: ([127, 0, 0, 1], 0).into(),
             members: (0..members).map(named).collect(),
-            voters: usize::from(members),
-            lease: Micros(1_200_000),
-            probe: Pace { per_s: 2.0, patience, path, alone: false },
-            list: true,
-            coordinator: true,
+            voter_count: usize::from(members),
+            lease_duration: Micros(1_200_000),
+            probe: Pace { per_s: 2.0, timeout: patience, path, without_leases: false },
+            share_list: true,
+            elect_coordinator: true,
             keys: Keys::new(1, [Key { id: 1, secret: [1; 32] }]).unwrap(),
         };
         let mut settings = Settings { slots: 4, max_held: 9, max_attempts: 3, ..Settings::default() };
--- a/sharing/src/peers.rs
+++ b/sharing/src/peers.rs
@@ -5,7 +5,7 @@
 use async_io::{Async, Timer};
 use futures_lite::future;
 use onyxrock::interface::Micros;
-use onyxrock_config::duties::{Duties, Member as Named};
+use onyxrock_config::duties::{DutySettings, NamedMember as Named};
 use onyxrock_duties::{Epoch, Member, Message};
 use onyxrock_membership::{DropReason, Membership, Output};
 use serde::{Deserialize, Serialize};
@@ -42,7 +42,7 @@
 }
 
 /// Listens where the settings say.
-pub fn bind_socket(d: &Duties) -> Result<Async<UdpSocket>, String> {
+pub fn bind_socket(d: &DutySettings) -> Result<Async<UdpSocket>, String> {
     Async::<UdpSocket>::bind(d.listen).map_err(|e| format!("cannot listen on {} for members: {e}", d.listen))
 }
 
