--- a/config/src/daemon.rs
+++ b/config/src/daemon.rs
@@ -1,6 +1,6 @@
 //! What the platform tells one forwarder: variables, and one JSON object.
 
-use crate::{changes, list, settings};
+use crate::{list, reload, settings};
 use onyxrock::core::NameIndex;
 use onyxrock::interface::{Micros, Settings};
 use serde_json::Value;
@@ -35,7 +35,7 @@
     /// # Errors
     /// One line that names the key that it lacks, or that is wrong.
     pub fn check_reload(&self, next: &Config) -> Result<(), String> {
-        changes::check(&self.required_values, &next.required_values)
+        reload::check(&self.required_values, &next.required_values)
     }
 
     /// What another reading of the file says otherwise and only a new start can take over.
@@ -148,6 +148,6 @@
         lists_pushed: pushed,
         names,
         cached_list: known,
-        required_values: changes::without_optional_keys(&v),
+        required_values: reload::without_optional_keys(&v),
     })
 }
--- a/config/tests/changes.rs
+++ b/config/tests/changes.rs
@@ -1,6 +1,6 @@
 //! What a new configuration may change while the daemon runs, and what is no configuration to be taken.
 
-use onyxrock_config::{changes, daemon};
+use onyxrock_config::{daemon, reload};
 use rstest::rstest;
 use serde_json::{Value, json};
 use std::path::PathBuf;
@@ -23,7 +23,7 @@
 }
 
 fn lasting() -> Value {
-    changes::without_optional_keys(&config())
+    reload::without_optional_keys(&config())
 }
 
 /// The paths of all keys, by way of the first entry of each list.
@@ -50,7 +50,7 @@
         let mut new = lasting();
         let (parent, key) = path.rsplit_once('/').expect("a path");
         new.pointer_mut(parent).and_then(Value::as_object_mut).expect("an object").remove(key);
-        let why = changes::check(&lasting(), &new).expect_err(&path);
+        let why = reload::check(&lasting(), &new).expect_err(&path);
         assert!(why.contains(key) && why.contains("missing"), "{path}: {why}");
     }
 }
@@ -81,7 +81,7 @@
 fn a_value_that_means_nothing_is_refused(#[case] path: &str, #[case] value: Value) {
     let mut new = lasting();
     *new.pointer_mut(path).expect("a key") = value;
-    assert!(changes::check(&lasting(), &new).is_err());
+    assert!(reload::check(&lasting(), &new).is_err());
 }
 
 #[test]
@@ -93,5 +93,5 @@
     classes[0]["giveUpUs"] = json!(1);
     *new.pointer_mut("/settings/limits/maxAttempts").unwrap() = json!(2);
     new["settings"]["more"] = json!(1);
-    assert_eq!(changes::check(&lasting(), &new), Ok(()));
+    assert_eq!(reload::check(&lasting(), &new), Ok(()));
 }
--- a/preload/src/lib.rs
+++ b/preload/src/lib.rs
@@ -8,10 +8,10 @@
 //! Calls that do not go through the C library are not seen: rustix makes its own (sockets, epoll), the standard library's
 //! files and clocks do not.
 
-pub mod plan;
+pub mod fault_plan;
 
+use fault_plan::{FaultPlan, WriteFault};
 use libc::{c_int, c_void, clockid_t, off_t, size_t, ssize_t, timespec};
-use plan::{FaultPlan, WriteFault};
 use std::ffi::CString;
 use std::path::PathBuf;
 use std::sync::OnceLock;
@@ -36,7 +36,7 @@
     if !path.is_absolute() {
         return None;
     }
-    let plan = plan::parse(&std::fs::read_to_string(file).ok()?).ok()?;
+    let plan = fault_plan::parse(&std::fs::read_to_string(file).ok()?).ok()?;
     let named = !plan.path.is_empty() && path.to_string_lossy().contains(&plan.path);
     named.then_some(plan)
 }
--- a/preload/tests/plan.rs
+++ b/preload/tests/plan.rs
@@ -1,6 +1,6 @@
 //! Plans of faults are read or refused with one line.
 
-use onyxrock_preload::plan::{FaultPlan, WriteFault, parse};
+use onyxrock_preload::fault_plan::{FaultPlan, WriteFault, parse};
 
 #[test]
 fn a_plan_says_what_fails() {
--- a/roster/src/directory.rs
+++ b/roster/src/directory.rs
@@ -1,7 +1,7 @@
 //! Which endpoints are listed, which of them are in use, and what is to be done about a change.
 
-use crate::awake::ActiveDestinations;
-use crate::memory::{HealthDecay, HealthKey, HealthStore};
+use crate::active::ActiveDestinations;
+use crate::health_store::{HealthDecay, HealthKey, HealthStore};
 use crate::table::{Change, Endpoint, EndpointTable, EntryError, RosterId};
 use hashbrown::HashMap;
 use onyxrock::interface::{
--- a/roster/src/lib.rs
+++ b/roster/src/lib.rs
@@ -46,21 +46,21 @@
 //! assert_eq!(gone, [Change::Gone(id)]);
 //! ```
 
-mod awake;
+mod active;
 mod directory;
+mod health_store;
 mod maintenance;
-mod memory;
 mod snapshot;
-mod staged;
+mod staged_list;
 mod table;
 
-pub use awake::ActiveDestinations;
+pub use active::ActiveDestinations;
 pub use directory::{
     ActivatedDestination, ActiveEndpoint, DestinationStatus, Directory, DirectoryOutput, DirectorySettings,
     EndpointCommand,
 };
+pub use health_store::{HealthDecay, HealthKey, HealthStore, StoredHealth};
 pub use maintenance::UnknownEndpoint;
-pub use memory::{HealthDecay, HealthKey, HealthStore, StoredHealth};
 pub use snapshot::{SnapshotWriter, read_snapshot};
-pub use staged::{EntryBlock, StagedList};
+pub use staged_list::{EntryBlock, StagedList};
 pub use table::{Change, Endpoint, EndpointTable, EntryError, RosterId};
--- a/roster/src/snapshot.rs
+++ b/roster/src/snapshot.rs
@@ -1,7 +1,7 @@
 //! Memories as the blocks of a file: a head with a version, blocks with their length and checksum, and an end, so that
 //! a file that was cut off is known as one.
 
-use crate::memory::{HealthKey, StoredHealth};
+use crate::health_store::{HealthKey, StoredHealth};
 use onyxrock::interface::Micros;
 use serde::{Deserialize, Serialize};
 
