--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,7 +1,9 @@
-//! Every decision, table and tuned value of onyxrock. Settings, events, actions: `src/interface.rs`.
+//! Every decision, table and tuned value of onyxrock. Settings, events and actions are in `src/interface.rs`.
 //!
-//! Each destination (each route where routes are apart) has a `Pace`: Detect its refusals, Update, Restrict.
-//! Departures: health of receivers, the cold ramp, worth order, giving up. README.md says where they stand.
+//! Each destination (each route where a kind has separate routes) has a `Pace` with the three processes of
+//! NICC: detect refusals, update the rate, restrict the calls. The health of receivers, the ramp of a cold
+//! destination, the order by value and the early end of late messages go beyond NICC; README.md says where
+//! they are.
 
 use crate::connections::ConnectionTable;
 use crate::interface::*;
@@ -21,46 +23,53 @@
 mod tuning;
 
 pub use intake::PolicyEngine;
-use receiver_gates::told_share;
+use receiver_gates::limit_share;
 use tuning::*;
 
 impl PolicyEngine {
     /// Decides what to do now, after all events of this moment.
     pub fn decide(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        actions.append(&mut self.called_off);
+        actions.append(&mut self.cancellations);
         actions.extend(self.list_refresh.take_due(now).then_some(Action::RequestList));
-        let due = self.agenda.take_due(now);
-        due.iter().for_each(|id| self.refresh(now, *id));
-        let looks = self.send_best(now, &due, actions);
-        self.give_way(now, actions);
-        self.close_given_back(actions);
-        for (id, at) in looks {
-            self.agenda.look(id, at.min(self.silence_due(id)));
+        let due = self.schedule.take_due(now);
+        due.iter().for_each(|id| self.update_destination(now, *id));
+        let next_checks = self.send_waiting(now, &due, actions);
+        self.cancel_overtaken(now, actions);
+        self.close_idle_connections(actions);
+        for (id, at) in next_checks {
+            self.schedule.add(id, at.min(self.next_hung_call(id)));
         }
         self.shed(now, actions);
-        self.tidy(now);
-        let wake = self.list_refresh.due().into_iter().chain(self.agenda.next()).min();
-        if let Some(at) = wake.filter(|at| self.wake_at.is_none_or(|t| *at < t)) {
-            self.wake_at = Some(at);
+        self.clean_up(now);
+        let timer = self.list_refresh.due().into_iter().chain(self.schedule.next_due()).min();
+        if let Some(at) = timer.filter(|at| self.timer_at.is_none_or(|t| *at < t)) {
+            self.timer_at = Some(at);
             actions.push(Action::SetTimer(at.since(now).max(Micros(1))));
         }
     }
 
-    /// Beyond its tenant's share at this sender: a bucket of two seconds' worth.
-    pub(super) fn over_share(&mut self, now: Micros, tenant: TenantId) -> bool {
-        let Some(t) = self.set.tenants.get(tenant.0) else { return false };
-        let rate = t.allowance_per_s / self.scale.senders;
-        rate > 0.0 && !self.shares[tenant.0].take(now, rate, (rate * SHARE_SPAN_S).max(SHARE_LEAST))
+    /// Charges a message to its tenant's share at this sender, a bucket that holds two seconds of the
+    /// allowance. Returns whether the message is beyond the share.
+    pub(super) fn exceeds_tenant_share(&mut self, now: Micros, tenant: TenantId) -> bool {
+        let Some(t) = self.settings.tenants.get(tenant.0) else { return false };
+        let rate = t.allowance_per_s / self.tuning.sender_count;
+        rate > 0.0
+            && !self.tenant_buckets[tenant.0].try_take(
+                now,
+                rate,
+                (rate * TENANT_BURST_S).max(MIN_TENANT_BURST),
+            )
     }
 
-    /// The single place that ends a message undelivered: refused where a repeat is harmless, else failed.
-    pub(super) fn end(
+    /// Ends a message that was not delivered; no other code does. The answer is a refusal where a repeat is
+    /// harmless, otherwise a failure.
+    pub(super) fn end_undelivered(
         &mut self, now: Micros, id: MessageId, wait: Option<Micros>, actions: &mut Vec<Action>,
     ) {
-        let Some(m) = self.held.get(&id).filter(|m| !m.ended && m.out.is_empty()) else { return };
-        actions.push(if m.may_refuse(&self.set, now) {
+        let Some(message) = self.held.get(&id).filter(|m| !m.ended && m.in_flight.is_empty()) else { return };
+        actions.push(if message.may_refuse(&self.settings, now) {
             let retry_after =
-                wait.filter(|_| self.set.send_retry_after).map(|w| w.min(self.set.max_retry_after));
+                wait.filter(|_| self.settings.send_retry_after).map(|w| w.min(self.settings.max_retry_after));
             Action::Refuse { id, retry_after }
         } else {
             Action::Fail(id)
@@ -68,27 +77,37 @@
         self.close(id);
     }
 
-    /// Near the end of the holding room the least worth goes, before newcomers are turned away unseen.
+    /// Close to the limit of held messages, ends those of least value, so that new messages are not refused
+    /// whatever their value is.
     fn shed(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let surplus = self.held.len().saturating_sub((f64::from(self.set.max_held) * HELD_HIGH) as usize);
+        let surplus =
+            self.held.len().saturating_sub((f64::from(self.settings.max_held) * SHED_THRESHOLD) as usize);
         let held = if surplus > 0 { &self.held } else { return };
-        let idle = held.iter().filter(|(_, m)| m.out.is_empty() && !m.ended);
-        let mut waiting: Vec<_> = idle.map(|(id, m)| (m.worth(&self.set, now), *id)).collect();
-        waiting.sort_by(|a, b| a.0.total_cmp(&b.0));
-        for (_, id) in waiting.into_iter().take(surplus) {
-            self.end(now, id, Some(self.set.max_retry_after), actions);
+        let not_in_flight = held.iter().filter(|(_, m)| m.in_flight.is_empty() && !m.ended);
+        let mut by_value: Vec<_> = not_in_flight.map(|(id, m)| (m.value(&self.settings, now), *id)).collect();
+        by_value.sort_by(|a, b| a.0.total_cmp(&b.0));
+        for (_, id) in by_value.into_iter().take(surplus) {
+            self.end_undelivered(now, id, Some(self.settings.max_retry_after), actions);
         }
     }
 
-    /// All slots are taken and messages wait: calls that were overtaken give way, where the message may be repeated.
-    fn give_way(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let held = if self.set.allow_cancel && !self.starved.is_empty() { &mut self.held } else { return };
-        for (id, m) in held.iter_mut().filter(|(_, m)| m.attempts <= GIVES_WAY) {
-            let safe = self.set.classes[m.class.0].effect != Effect::Unsafe;
-            for a in m.out.iter_mut().filter(|a| safe && !a.called_off) {
-                let r = self.receivers.get(&a.receiver);
-                a.called_off = r.is_some_and(|r| r.overtaken(a.sent, now.since(a.sent).secs()));
-                actions.extend(a.called_off.then_some(Action::CancelAttempt { id: *id, attempt: a.number }));
+    /// While messages wait for a slot, cancels calls that hang although later ones were delivered, where the
+    /// message may be repeated.
+    fn cancel_overtaken(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        let held = if self.settings.allow_cancel && !self.waiting_for_slot.is_empty() {
+            &mut self.held
+        } else {
+            return;
+        };
+        for (id, message) in held.iter_mut().filter(|(_, m)| m.attempts <= MAX_CANCELLABLE_ATTEMPTS) {
+            let repeatable = self.settings.classes[message.class.0].effect != Effect::Unsafe;
+            for attempt in message.in_flight.iter_mut().filter(|a| repeatable && !a.cancelled) {
+                let receiver = self.receivers.get(&attempt.receiver);
+                attempt.cancelled =
+                    receiver.is_some_and(|r| r.overtaken(attempt.sent_at, now.since(attempt.sent_at).secs()));
+                actions.extend(
+                    attempt.cancelled.then_some(Action::CancelAttempt { id: *id, attempt: attempt.number }),
+                );
             }
         }
     }
--- a/src/policy/intake.rs
+++ b/src/policy/intake.rs
@@ -1,315 +1,370 @@
-//! What a sender keeps, taken in and let go: no receiver, repeat, copy or refusal is chosen here.
+//! The state of one sender, and the events that change it: list entries, messages, limits, retry-afters. No
+//! receiver, retry, second copy or refusal is chosen here.
 
 use super::*;
 
-/// What nobody has used for so long is forgotten.
-const FORGET: Micros = Micros(60_000_000);
-const TIDY_EVERY: Micros = Micros(10_000_000);
-const NOTES_PER_S: f64 = 25.0; // from all senders together
-const NOTE_GAP_S: f64 = 0.5; // from one sender
-/// Latency norm of a receiver never heard from.
-const NORM_START_S: f64 = 0.25;
+/// A removed receiver without calls is forgotten after this time.
+const FORGET_AFTER: Micros = Micros(60_000_000);
+const CLEAN_UP_INTERVAL: Micros = Micros(10_000_000);
+/// Refusal hints of all senders together.
+const REFUSAL_HINTS_PER_S: f64 = 25.0;
+/// Least time between two refusal hints of one sender.
+const MIN_REFUSAL_HINT_INTERVAL_S: f64 = 0.5;
+/// Usual latency that a receiver is taken to have before its first delivery.
+const INITIAL_LATENCY_S: f64 = 0.25;
 
 /// The decisions of one sender.
 #[derive(Clone, Debug)]
 pub struct PolicyEngine {
-    pub(super) set: Settings,
-    pub(super) scale: Scale,
+    pub(super) settings: Settings,
+    pub(super) tuning: ScaledTuning,
     pub(super) rng: Rng,
     pub(super) destinations: BTreeMap<DestinationId, Destination>,
     pub(super) receivers: BTreeMap<ReceiverId, Receiver>,
-    pub(super) held: BTreeMap<MessageId, Held>,
-    pub(super) turns: Turns,
-    pub(super) calls: Calls,
-    /// When to look at which destination. Only these are looked at.
-    pub(super) agenda: Agenda,
-    /// The share of calls that broke without an answer lately, wherever they went.
-    pub(super) broad: f64,
-    /// Destinations with messages that only wait for a slot.
-    pub(super) starved: BTreeSet<DestinationId>,
-    /// What is seen of the connection tables of each kind.
-    pub(super) tables: BTreeMap<KindId, ConnectionTable>,
-    /// Receivers of which idle connections are given back, unless the next decision uses them.
-    pub(super) giving_back: BTreeSet<ReceiverId>,
-    pub(super) tidy_at: Micros,
-    pub(super) tell_at: Micros,
-    pub(super) shares: Vec<Bucket>,
-    /// Second copies that may go.
-    pub(super) copies: f64,
-    /// Attempts to call off.
-    pub(super) called_off: Vec<Action>,
+    pub(super) held: BTreeMap<MessageId, HeldMessage>,
+    pub(super) key_queues: KeyQueues,
+    pub(super) calls: CallsInFlight,
+    /// When which destination is due for a decision. A decision covers only the destinations that are due.
+    pub(super) schedule: DestinationSchedule,
+    /// Moving share of the calls to any receiver that broke without an answer.
+    pub(super) background_failures: f64,
+    /// Destinations with messages that could be sent but for a free slot.
+    pub(super) waiting_for_slot: BTreeSet<DestinationId>,
+    /// What this sender has seen of the connection tables, for each kind of receiver.
+    pub(super) connection_tables: BTreeMap<KindId, ConnectionTable>,
+    /// Receivers whose idle connections get closed, unless the next decision uses them.
+    pub(super) closing_idle: BTreeSet<ReceiverId>,
+    pub(super) next_clean_up: Micros,
+    /// No refusal hint is sent before this time.
+    pub(super) next_refusal_hint: Micros,
+    pub(super) tenant_buckets: Vec<LeakyBucket>,
+    /// Number of second copies that may go.
+    pub(super) second_copy_credit: f64,
+    /// Attempts to cancel with the next decision.
+    pub(super) cancellations: Vec<Action>,
     pub(super) list_refresh: ListRefresh,
-    pub(super) wake_at: Option<Micros>,
+    /// When the timer fires that was set last.
+    pub(super) timer_at: Option<Micros>,
 }
 
 impl PolicyEngine {
-    /// A sender that knows nothing yet but its settings. All chance comes from `seed`.
+    /// A sender that knows nothing but its settings. All random choices depend on `seed` alone.
     pub fn new(settings: Settings, seed: u64) -> PolicyEngine {
         PolicyEngine {
-            scale: Scale::of(&settings),
+            tuning: ScaledTuning::new(&settings),
             rng: Rng(seed),
             destinations: BTreeMap::new(),
             receivers: BTreeMap::new(),
             held: BTreeMap::new(),
-            turns: Turns::default(),
-            calls: Calls::default(),
-            agenda: Agenda::default(),
-            broad: 0.0,
-            starved: BTreeSet::new(),
-            tables: BTreeMap::new(),
-            giving_back: BTreeSet::new(),
-            tidy_at: Micros(0),
-            tell_at: Micros(0),
-            shares: vec![Bucket::default(); settings.tenants.len()],
-            copies: 1.0, // one may go before its share has been earned
-            called_off: Vec::new(),
+            key_queues: KeyQueues::default(),
+            calls: CallsInFlight::default(),
+            schedule: DestinationSchedule::default(),
+            background_failures: 0.0,
+            waiting_for_slot: BTreeSet::new(),
+            connection_tables: BTreeMap::new(),
+            closing_idle: BTreeSet::new(),
+            next_clean_up: Micros(0),
+            next_refusal_hint: Micros(0),
+            tenant_buckets: vec![LeakyBucket::default(); settings.tenants.len()],
+            second_copy_credit: 1.0, // the first copy may go before enough calls have been made
+            cancellations: Vec::new(),
             list_refresh: ListRefresh::new(&settings),
-            wake_at: None,
-            set: settings,
+            timer_at: None,
+            settings,
         }
     }
 
-    /// All classes that a message may have from now on. They begin with those that there were: what is held keeps
-    /// its own.
+    /// Sets the classes of messages. They must begin with the present classes, since held messages refer to
+    /// these.
     pub fn set_classes(&mut self, classes: &[ClassSettings]) {
-        self.set.classes = classes.to_vec();
+        self.settings.classes = classes.to_vec();
     }
 
-    /// What may change of the settings beside classes.
+    /// Sets the only other settings that may change.
     pub fn set_bounds(&mut self, max_attempts: u32, max_held: u32) {
-        (self.set.max_attempts, self.set.max_held) = (max_attempts, max_held);
+        (self.settings.max_attempts, self.settings.max_held) = (max_attempts, max_held);
     }
 
-    /// Takes note of something that happened at `now`. Call [`PolicyEngine::decide`] after the last of a moment.
+    /// Applies an event that happened at `now`. Call [`PolicyEngine::decide`] after the last event of a
+    /// moment.
     pub fn on_event(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
-        self.list_refresh.heard(&event);
+        self.list_refresh.on_event(&event);
         match event {
             Event::PersistedList(entries) | Event::FullList(entries) => self.on_list(entries, true),
             Event::CachedEntries(entries) | Event::ListChanges(entries) => self.on_list(entries, false),
             Event::ListFailed => self.list_refresh.failed(now, &mut self.rng),
             Event::ListRefused => self.list_refresh.refused(now, &mut self.rng),
-            Event::ListSourceChanged => self.list_refresh.moved(),
+            Event::ListSourceChanged => self.list_refresh.source_changed(),
             Event::Submit(message) => self.on_submit(now, message),
-            Event::Resume(message, past) => self.on_resume(now, message, past, actions),
-            Event::Outcome(o) if self.set.load_reports => self.on_outcome(now, &o, actions),
-            // Nobody has promised that such figures mean what a report would.
-            Event::Outcome(o) => {
-                self.on_outcome(now, &Outcome { limit_per_s: None, remaining_share: None, ..o }, actions)
+            Event::Resume(message, history) => self.on_resume(now, message, history, actions),
+            Event::Outcome(outcome) if self.settings.load_reports => self.on_outcome(now, &outcome, actions),
+            // Without load reports in the settings, nothing guarantees the meaning of such figures.
+            Event::Outcome(outcome) => {
+                self.on_outcome(
+                    now,
+                    &Outcome { limit_per_s: None, remaining_share: None, ..outcome },
+                    actions,
+                );
             }
-            Event::RetryAfter(receiver, wait) => self.note_wait(now, receiver, wait),
-            Event::PeerHint(data) => self.on_note(now, &data),
+            Event::RetryAfter(receiver, wait) => self.record_retry_after(now, receiver, wait),
+            Event::PeerHint(data) => self.on_peer_hint(now, &data),
             Event::Withdrawn(id) => self.close(id),
-            Event::TimerFired => self.wake_at = self.wake_at.filter(|t| *t > now),
+            Event::TimerFired => self.timer_at = self.timer_at.filter(|t| *t > now),
         }
     }
 
-    /// The limit that an answer told. Where routes are not apart it is the whole destination's: an endpoint that has just
-    /// been listed, or has said nothing yet, is not one of which nothing is known.
-    pub(super) fn note_limit(&mut self, o: &Outcome) {
-        let told = o.limit_per_s.filter(|l| *l > 0.0);
-        let Some((r, told)) = self.receivers.get(&o.receiver).zip(told) else { return };
-        let shared = self.destinations.get(&r.destination).filter(|_| !r.apart);
-        let all = shared.map_or(vec![o.receiver], |d| d.receivers.clone());
+    /// Records the limit that an answer reported. Without separate routes it is the limit of the whole
+    /// destination, so that it is known for receivers as well that were just listed or have not answered yet.
+    pub(super) fn record_limit(&mut self, outcome: &Outcome) {
+        let limit = outcome.limit_per_s.filter(|l| *l > 0.0);
+        let Some((receiver, limit)) = self.receivers.get(&outcome.receiver).zip(limit) else { return };
+        let shared = self.destinations.get(&receiver.destination).filter(|_| !receiver.separate_route);
+        let all = shared.map_or(vec![outcome.receiver], |d| d.receivers.clone());
         for id in all {
-            if let Some(r) = self.receivers.get_mut(&id) {
-                r.limit = Some(told);
+            if let Some(receiver) = self.receivers.get_mut(&id) {
+                receiver.reported_limit = Some(limit);
             }
         }
     }
 
-    /// A receiver told a wait. Waits only grow while they run. Where routes are not apart it is the whole destination's;
-    /// the receiver keeps it as well, for the time when routes become apart.
-    pub(super) fn note_wait(&mut self, now: Micros, id: ReceiverId, wait: Micros) {
-        let Some(r) = self.receivers.get_mut(&id).filter(|_| wait > Micros(0)) else { return };
+    /// Records a retry-after from a receiver. It never shortens one that still runs. Without separate routes
+    /// it applies to the whole destination; the receiver keeps it as well, in case its destination later gets
+    /// separate routes.
+    pub(super) fn record_retry_after(&mut self, now: Micros, id: ReceiverId, wait: Micros) {
+        let Some(receiver) = self.receivers.get_mut(&id).filter(|_| wait > Micros(0)) else { return };
         let until = now.plus(wait);
-        r.pace.wait_until = r.pace.wait_until.max(until);
-        if let Some(d) = self.destinations.get_mut(&r.destination).filter(|_| !r.apart) {
-            d.pace.wait_until = d.pace.wait_until.max(until);
+        receiver.pace.wait_until = receiver.pace.wait_until.max(until);
+        if let Some(destination) =
+            self.destinations.get_mut(&receiver.destination).filter(|_| !receiver.separate_route)
+        {
+            destination.pace.wait_until = destination.pace.wait_until.max(until);
         }
-        self.agenda.look(r.destination, now); // what cannot outlast it ends at once
+        self.schedule.add(receiver.destination, now); // messages whose deadline is earlier end at once
     }
 
-    pub(super) fn on_list(&mut self, entries: Vec<ListEntry>, whole: bool) {
-        let mut touched = BTreeSet::new();
-        if whole {
-            self.receivers.values_mut().for_each(|r| r.listing = EntryState::Gone);
+    /// Applies list entries. In a `complete` list, a missing receiver is gone.
+    pub(super) fn on_list(&mut self, entries: Vec<ListEntry>, complete: bool) {
+        let mut changed = BTreeSet::new();
+        if complete {
+            self.receivers.values_mut().for_each(|r| r.list_state = EntryState::Gone);
         }
-        for e in entries {
-            if e.state == EntryState::Gone && !self.receivers.contains_key(&e.receiver) {
+        for entry in entries {
+            if entry.state == EntryState::Gone && !self.receivers.contains_key(&entry.receiver) {
                 continue;
             }
-            let kind = self.set.kinds.get(e.kind.0);
-            let r = self.receivers.entry(e.receiver).or_insert_with(|| Receiver::new(&e, kind, NORM_START_S));
-            (r.listing, r.weight) = (e.state, e.weight);
-            let d = self.destinations.entry(r.destination).or_default();
-            // Routes that become apart, or one pace, keep the waits that were told before.
-            if e.state != EntryState::Gone && r.kind != e.kind {
-                (r.kind, r.apart) = (e.kind, kind.is_some_and(|k| k.separate_routes));
-                r.batch = kind.map_or(1, |k| k.messages_per_call.max(1));
-                if !r.apart {
-                    d.pace.wait_until = r.told_until(d);
+            let kind = self.settings.kinds.get(entry.kind.0);
+            let receiver = self
+                .receivers
+                .entry(entry.receiver)
+                .or_insert_with(|| Receiver::new(&entry, kind, INITIAL_LATENCY_S));
+            (receiver.list_state, receiver.weight) = (entry.state, entry.weight);
+            let destination = self.destinations.entry(receiver.destination).or_default();
+            // A destination that gets separate routes, or loses them, keeps the retry-afters received before.
+            if entry.state != EntryState::Gone && receiver.kind != entry.kind {
+                (receiver.kind, receiver.separate_route) =
+                    (entry.kind, kind.is_some_and(|k| k.separate_routes));
+                receiver.messages_per_call = kind.map_or(1, |k| k.messages_per_call.max(1));
+                if !receiver.separate_route {
+                    destination.pace.wait_until = receiver.wait_until(destination);
                 }
             }
-            if !d.receivers.contains(&e.receiver) {
-                d.receivers.push(e.receiver);
+            if !destination.receivers.contains(&entry.receiver) {
+                destination.receivers.push(entry.receiver);
             }
-            touched.insert(e.destination);
+            changed.insert(entry.destination);
         }
-        for id in touched {
-            self.agenda.look(id, Micros(0));
+        for id in changed {
+            self.schedule.add(id, Micros(0));
         }
     }
 
-    pub(super) fn on_submit(&mut self, now: Micros, m: Message) {
-        let known = self.held.contains_key(&m.id);
-        let Some(class) = self.set.classes.get(m.class.0).filter(|_| !known) else { return };
-        let deadline = now.plus(m.time_left);
-        let key = m.ordering_key.filter(|_| class.in_order);
-        let aim_at = now.plus(class.target_latency.since(class.give_up_after.since(m.time_left)));
-        key.iter().for_each(|k| self.turns.join(k, m.id));
-        let over_share = m.tenant.is_some_and(|t| self.over_share(now, t));
-        let d = self.destinations.entry(m.destination).or_default();
-        d.offered.add(now, self.scale.rate_memory);
-        d.waiting.insert(m.id);
-        self.agenda.look(m.destination, now);
-        let (class, destination) = (m.class, m.destination);
-        let max_attempts = self.set.max_attempts;
-        let held =
-            Held { class, key, destination, over_share, deadline, aim_at, max_attempts, ..Held::default() };
-        self.held.insert(m.id, held);
+    pub(super) fn on_submit(&mut self, now: Micros, message: Message) {
+        let known = self.held.contains_key(&message.id);
+        let Some(class) = self.settings.classes.get(message.class.0).filter(|_| !known) else { return };
+        let deadline = now.plus(message.time_left);
+        let ordering_key = message.ordering_key.filter(|_| class.in_order);
+        let target_time = now.plus(class.target_latency.since(class.give_up_after.since(message.time_left)));
+        ordering_key.iter().for_each(|k| self.key_queues.push(k, message.id));
+        let over_share = message.tenant.is_some_and(|t| self.exceeds_tenant_share(now, t));
+        let destination = self.destinations.entry(message.destination).or_default();
+        destination.offered_rate.add(now, self.tuning.offered_memory);
+        destination.waiting.insert(message.id);
+        self.schedule.add(message.destination, now);
+        let (class, destination) = (message.class, message.destination);
+        let max_attempts = self.settings.max_attempts;
+        let held = HeldMessage {
+            class,
+            ordering_key,
+            destination,
+            over_share,
+            deadline,
+            target_time,
+            max_attempts,
+            ..HeldMessage::default()
+        };
+        self.held.insert(message.id, held);
     }
 
-    /// A message of an earlier process: what it may have done there binds as if it were done here.
+    /// Takes over a message of an earlier process. The attempts made there bind this process as its own do.
     pub(super) fn on_resume(
-        &mut self, now: Micros, m: Message, past: AttemptHistory, actions: &mut Vec<Action>,
+        &mut self, now: Micros, message: Message, history: AttemptHistory, actions: &mut Vec<Action>,
     ) {
-        let id = m.id;
-        self.on_submit(now, Message { tenant: None, ..m }); // its share was charged when it came
+        let id = message.id;
+        // The message was charged to its tenant's share when it was submitted.
+        self.on_submit(now, Message { tenant: None, ..message });
         let Some(held) = self.held.get_mut(&id) else { return };
-        (held.attempts, held.number, held.maybe_ran) =
-            (past.attempts, past.attempts, past.first_possible_run);
-        held.untried = past.attempts == 0;
-        let lost =
-            past.first_possible_run.is_some() && self.set.classes[held.class.0].effect == Effect::Unsafe;
-        if lost || past.attempts >= held.max_attempts {
-            self.end(now, id, None, actions);
+        (held.attempts, held.next_attempt, held.first_possible_run) =
+            (history.attempts, history.attempts, history.first_possible_run);
+        held.untried = history.attempts == 0;
+        let lost = history.first_possible_run.is_some()
+            && self.settings.classes[held.class.0].effect == Effect::Unsafe;
+        if lost || history.attempts >= held.max_attempts {
+            self.end_undelivered(now, id, None, actions);
         }
     }
 
-    /// A call was chosen: what it takes of slots, pace and budgets.
-    pub(super) fn commit(&mut self, now: Micros, id: MessageId, target: ReceiverId, joins: bool) {
-        let (Some(m), Some(r)) = (self.held.get_mut(&id), self.receivers.get_mut(&target)) else { return };
-        let call = self.calls.add(target, r.batch, joins);
-        let copy = !m.out.is_empty();
-        m.out.push(Attempt::new(m.number, target, r.zone, now, call));
-        (m.attempts, m.number) = (m.attempts + 1, m.number + 1);
-        // A copy may follow, once this one is late.
-        let may = self.set.second_copies && self.set.classes[m.class.0].effect != Effect::Unsafe;
-        if copy || !may {
-            self.destinations.entry(m.destination).or_default().waiting.remove(&id);
+    /// Starts an attempt at the chosen receiver, in a call that it `joins` or in a new one, and charges
+    /// slots, pace and budgets.
+    pub(super) fn start_attempt(&mut self, now: Micros, id: MessageId, target: ReceiverId, joins: bool) {
+        let (Some(message), Some(receiver)) = (self.held.get_mut(&id), self.receivers.get_mut(&target))
+        else {
+            return;
+        };
+        let call = self.calls.add(target, receiver.messages_per_call, joins);
+        let second_copy = !message.in_flight.is_empty();
+        message.in_flight.push(Attempt::new(message.next_attempt, target, receiver.zone, now, call));
+        (message.attempts, message.next_attempt) = (message.attempts + 1, message.next_attempt + 1);
+        // A second copy may follow once this attempt is late.
+        let copy_allowed =
+            self.settings.second_copies && self.settings.classes[message.class.0].effect != Effect::Unsafe;
+        if second_copy || !copy_allowed {
+            self.destinations.entry(message.destination).or_default().waiting.remove(&id);
         } else {
-            self.agenda.look(m.destination, now.plus(Micros::from_secs(COPY_AFTER * r.slow_bar())));
+            self.schedule.add(
+                message.destination,
+                now.plus(Micros::from_secs(SECOND_COPY_DELAY_FACTOR * receiver.slow_threshold())),
+            );
         }
-        self.copies = (self.copies + if copy { -1.0 } else { COPY_SHARE }).min(3.0); // so many at once
+        // At most 3 second copies can go at once.
+        self.second_copy_credit =
+            (self.second_copy_credit + if second_copy { -1.0 } else { SECOND_COPY_SHARE }).min(3.0);
         if joins {
-            return r.sends.back_mut().into_iter().for_each(|s| s.1 += EXTRA_WEIGHT);
+            return receiver.recent_sends.back_mut().into_iter().for_each(|s| s.1 += EXTRA_MESSAGE_WEIGHT);
         }
-        r.note_send(now, call, self.set.collapse_window);
-        let new_connection = r.connections.take(now, self.set.connection_idle_timeout);
-        m.out.iter_mut().filter(|a| a.call == call).for_each(|a| a.new_connection = new_connection);
-        if r.apart {
-            r.pace.on_send(now);
-        } else if let Some(d) = self.destinations.get_mut(&r.destination) {
-            d.pace.on_send(now);
+        receiver.note_send(now, call, self.settings.collapse_window);
+        let new_connection = receiver.connections.take(now, self.settings.connection_idle_timeout);
+        message
+            .in_flight
+            .iter_mut()
+            .filter(|a| a.call == call)
+            .for_each(|a| a.new_connection = new_connection);
+        if receiver.separate_route {
+            receiver.pace.on_send(now);
+        } else if let Some(destination) = self.destinations.get_mut(&receiver.destination) {
+            destination.pace.on_send(now);
         }
     }
 
-    /// Forgets a message, or marks it ended while an attempt is out, so that its key keeps waiting.
+    /// Ends a message and forgets it. While an attempt is in flight, it is only marked as ended, so that the
+    /// next message with its ordering key keeps waiting.
     pub(super) fn close(&mut self, id: MessageId) {
-        let Some(m) = self.held.get_mut(&id) else { return };
-        m.ended = true;
-        if !m.out.is_empty() {
-            // Of two copies the one that is still out holds a slot for nothing.
-            let copies = m.out.iter().filter(|_| self.set.allow_cancel && self.set.second_copies);
-            self.called_off.extend(copies.map(|a| Action::CancelAttempt { id, attempt: a.number }));
+        let Some(message) = self.held.get_mut(&id) else { return };
+        message.ended = true;
+        if !message.in_flight.is_empty() {
+            // The second of two copies is of no use any more and only takes a slot.
+            let copies = message
+                .in_flight
+                .iter()
+                .filter(|_| self.settings.allow_cancel && self.settings.second_copies);
+            self.cancellations.extend(copies.map(|a| Action::CancelAttempt { id, attempt: a.number }));
             return;
         }
-        let next = m.key.as_ref().and_then(|k| self.turns.leave(k, id));
-        if let Some(d) = self.destinations.get_mut(&m.destination) {
-            d.waiting.remove(&id);
+        let next = message.ordering_key.as_ref().and_then(|k| self.key_queues.remove(k, id));
+        if let Some(destination) = self.destinations.get_mut(&message.destination) {
+            destination.waiting.remove(&id);
         }
         self.held.remove(&id);
-        if let Some(to) = next.and_then(|n| self.held.get(&n)).map(|m| m.destination) {
-            self.agenda.look(to, Micros(0)); // the next of the key has its turn
+        if let Some(destination) = next.and_then(|n| self.held.get(&n)).map(|m| m.destination) {
+            self.schedule.add(destination, Micros(0)); // the next message with the key may go
         }
     }
 
-    /// Destinations with a receiver that is doubted: worth a look.
+    /// Destinations with a listed receiver that is not known to be up and warm, for probes.
     pub fn unconfirmed_destinations(&self) -> impl Iterator<Item = DestinationId> {
-        let doubted = |d: &Destination| {
-            let mut known = d.receivers.iter().filter_map(|r| self.receivers.get(r));
-            known.any(|r| r.listing == EntryState::Ready && r.doubted(d))
+        let unconfirmed = |destination: &Destination| {
+            let mut receivers = destination.receivers.iter().filter_map(|r| self.receivers.get(r));
+            receivers.any(|r| r.list_state == EntryState::Ready && r.unconfirmed(destination))
         };
-        self.destinations.iter().filter(move |(_, d)| doubted(d)).map(|(id, _)| *id)
+        self.destinations.iter().filter(move |(_, d)| unconfirmed(d)).map(|(id, _)| *id)
     }
 
-    /// Any receiver that shares a fate with this one is doubted.
-    pub(super) fn doubted(&self, id: ReceiverId) -> bool {
-        let Some(r) = self.receivers.get(&id) else { return false };
-        self.destinations.get(&r.destination).is_some_and(|d| self.in_doubt(r, d).next().is_some())
+    /// Whether this receiver, or one whose health is judged together with its own, is unconfirmed.
+    pub(super) fn any_unconfirmed(&self, id: ReceiverId) -> bool {
+        let Some(receiver) = self.receivers.get(&id) else { return false };
+        self.destinations
+            .get(&receiver.destination)
+            .is_some_and(|d| self.unconfirmed_siblings(receiver, d).next().is_some())
     }
 
-    /// Receivers that a destination has now: those that have come and gone say nothing of the others.
-    pub(super) fn routes(&self, d: &Destination) -> usize {
-        let known = d.receivers.iter().filter_map(|r| self.receivers.get(r));
-        known.filter(|r| r.here()).count().max(1)
+    /// Number of receivers that a destination has at present; removed ones show nothing about the others.
+    pub(super) fn receiver_count(&self, destination: &Destination) -> usize {
+        let receivers = destination.receivers.iter().filter_map(|r| self.receivers.get(r));
+        receivers.filter(|r| r.listed_or_busy()).count().max(1)
     }
 
-    /// The doubted receivers among those that share a fate with this one.
-    pub(super) fn in_doubt<'a>(
-        &'a self, r: &'a Receiver, d: &'a Destination,
+    /// The unconfirmed ones among the receivers whose health is judged together with this receiver's, itself
+    /// included: all receivers of the destination, unless this one is a separate route.
+    pub(super) fn unconfirmed_siblings<'a>(
+        &'a self, receiver: &'a Receiver, destination: &'a Destination,
     ) -> impl Iterator<Item = &'a Receiver> {
-        let siblings = d.receivers.iter().filter_map(|s| self.receivers.get(s));
-        siblings.filter(move |s| s.here() && (!r.apart || std::ptr::eq(*s, r)) && s.doubted(d))
+        let receivers = destination.receivers.iter().filter_map(|r| self.receivers.get(r));
+        receivers.filter(move |r| {
+            r.listed_or_busy()
+                && (!receiver.separate_route || std::ptr::eq(*r, receiver))
+                && r.unconfirmed(destination)
+        })
     }
 
-    /// When the calls out at a destination will have hung for too long.
-    pub(super) fn silence_due(&self, id: DestinationId) -> Micros {
-        let receivers = self.destinations.get(&id).into_iter().flat_map(|d| &d.receivers);
-        let may_sicken = |r: &&Receiver| matches!(r.health, Health::Well | Health::Suspect { .. });
-        let known = receivers.filter_map(|r| self.receivers.get(r)).filter(may_sicken);
-        known.map(Receiver::silent_at).min().unwrap_or(NEVER)
+    /// When calls in flight at a destination will have hung for so long that a receiver becomes unhealthy.
+    pub(super) fn next_hung_call(&self, id: DestinationId) -> Micros {
+        let ids = self.destinations.get(&id).into_iter().flat_map(|d| &d.receivers);
+        let not_yet_unhealthy = |r: &&Receiver| matches!(r.health, Health::Healthy | Health::Suspect { .. });
+        let receivers = ids.filter_map(|r| self.receivers.get(r)).filter(not_yet_unhealthy);
+        receivers.map(Receiver::hung_at).min().unwrap_or(NEVER)
     }
 
     /// Forgets what no rule and no message needs any more.
-    pub(super) fn tidy(&mut self, now: Micros) {
-        if now < self.tidy_at {
+    pub(super) fn clean_up(&mut self, now: Micros) {
+        if now < self.next_clean_up {
             return;
         }
-        self.tidy_at = now.plus(TIDY_EVERY);
-        self.turns.tidy(now);
-        // A receiver that leaves the list may come again: its told wait and health stay for a while.
-        let idle =
-            |r: &Receiver| r.sends.back().is_none_or(|s| now.since(s.0) > FORGET) && r.calls.is_empty();
-        self.receivers.retain(|_, r| r.listing != EntryState::Gone || r.pace.wait_until > now || !idle(r));
-        for d in self.destinations.values_mut() {
-            d.receivers.retain(|r| self.receivers.contains_key(r));
+        self.next_clean_up = now.plus(CLEAN_UP_INTERVAL);
+        self.key_queues.clean_up(now);
+        // A receiver that leaves the list may come back, so its retry-after and health are kept for a while.
+        let unused = |r: &Receiver| {
+            r.recent_sends.back().is_none_or(|s| now.since(s.0) > FORGET_AFTER) && r.calls.is_empty()
+        };
+        self.receivers
+            .retain(|_, r| r.list_state != EntryState::Gone || r.pace.wait_until > now || !unused(r));
+        for destination in self.destinations.values_mut() {
+            destination.receivers.retain(|r| self.receivers.contains_key(r));
         }
         self.destinations
             .retain(|_, d| !d.receivers.is_empty() || !d.waiting.is_empty() || d.pace.wait_until > now);
     }
 
-    /// Tells the other senders, so that a burst of them all counts as one; what is lost only makes it longer.
-    pub(super) fn tell(
-        &mut self, now: Micros, receiver: ReceiverId, news: PeerHint, actions: &mut Vec<Action>,
+    /// Sends a hint to the other senders, so that refusals at all of them count as one burst. A lost hint
+    /// only delays the start of rate control.
+    pub(super) fn send_peer_hint(
+        &mut self, now: Micros, receiver: ReceiverId, hint: PeerHint, actions: &mut Vec<Action>,
     ) {
-        if news == PeerHint::Refused && now < self.tell_at {
+        if hint == PeerHint::Refused && now < self.next_refusal_hint {
             return;
         }
-        if news == PeerHint::Refused {
-            let every = self.scale.senders / NOTES_PER_S;
-            self.tell_at = now.plus(Micros::from_secs(every.max(NOTE_GAP_S)));
+        if hint == PeerHint::Refused {
+            let interval = self.tuning.sender_count / REFUSAL_HINTS_PER_S;
+            self.next_refusal_hint = now.plus(Micros::from_secs(interval.max(MIN_REFUSAL_HINT_INTERVAL_S)));
         }
-        actions.push(Action::SendPeerHint(news.encode(receiver)));
+        actions.push(Action::SendPeerHint(hint.encode(receiver)));
     }
 }
--- a/src/policy/learning.rs
+++ b/src/policy/learning.rs
@@ -1,193 +1,246 @@
-//! What outcomes, notes of other senders and time alone teach: pace, health, tables of connections.
+//! What the policy learns from outcomes, from the peer hints of other senders and from the passage of time:
+//! pace, health and the state of connection tables.
 
 use super::*;
 
 impl PolicyEngine {
-    /// What another found up was no colder than if it came back that moment. A late note only makes slower.
-    pub(super) fn on_note(&mut self, now: Micros, data: &[u8]) {
-        let Some((id, news)) = PeerHint::decode(data) else { return };
-        self.note_wait(now, id, if let PeerHint::RetryAfter(wait) = news { wait } else { Micros(0) });
-        let Some(r) = self.receivers.get_mut(&id) else { return };
-        let Some(d) = self.destinations.get_mut(&r.destination) else { return };
-        let out_of_order = r.out_of_order(d);
-        let pace = if r.apart { &mut r.pace } else { &mut d.pace };
-        match news {
-            PeerHint::Refused => pace.note_refusal(now, self.scale),
+    /// Applies a peer hint. A receiver that another sender found recovered is taken to have come back at this
+    /// moment and so to be no warmer than that; a late hint only makes this sender slower.
+    pub(super) fn on_peer_hint(&mut self, now: Micros, data: &[u8]) {
+        let Some((id, hint)) = PeerHint::decode(data) else { return };
+        self.record_retry_after(
+            now,
+            id,
+            if let PeerHint::RetryAfter(wait) = hint { wait } else { Micros(0) },
+        );
+        let Some(receiver) = self.receivers.get_mut(&id) else { return };
+        let Some(destination) = self.destinations.get_mut(&receiver.destination) else { return };
+        let out_of_order = receiver.out_of_order(destination);
+        let pace = if receiver.separate_route { &mut receiver.pace } else { &mut destination.pace };
+        match hint {
+            PeerHint::Refused => pace.note_refusal(now, self.tuning),
             PeerHint::Recovered if out_of_order => {
-                pace.doubt = Doubt { from: now, phase: self.rng.roll(), ..pace.doubt };
-                r.health = Health::Recovering { since: now };
-                self.agenda.look(r.destination, now);
+                pace.unconfirmed = Unconfirmed { from: now, phase: self.rng.next_unit(), ..pace.unconfirmed };
+                receiver.health = Health::Recovering { since: now };
+                self.schedule.add(receiver.destination, now);
             }
             PeerHint::RetryAfter(wait) => {
-                pace.note_refusal(now, self.scale);
-                if wait >= LONG_WAIT && matches!(r.health, Health::Well | Health::Suspect { .. }) {
-                    let phase = self.rng.roll() + 0.5;
-                    pace.doubt = Doubt { from: now.plus(wait), phase, proven: r.last_proof };
-                    r.sicken(now, wait);
-                    d.trouble_at = now;
+                pace.note_refusal(now, self.tuning);
+                if wait >= OUTAGE_RETRY_AFTER
+                    && matches!(receiver.health, Health::Healthy | Health::Suspect { .. })
+                {
+                    let phase = self.rng.next_unit() + 0.5;
+                    pace.unconfirmed = Unconfirmed {
+                        from: now.plus(wait),
+                        phase,
+                        last_confirmed_send: receiver.last_confirmed_send,
+                    };
+                    receiver.mark_unhealthy(now, wait);
+                    destination.last_unhealthy_at = now;
                 }
             }
             PeerHint::Recovered => {}
         }
     }
 
-    /// What time alone changes at a destination: its pace, and calls that hang.
-    pub(super) fn refresh(&mut self, now: Micros, id: DestinationId) {
-        let scale = self.scale;
-        let Some(d) = self.destinations.get_mut(&id) else { return };
-        let offered = d.offered.get(now, scale.rate_memory);
-        d.pace.update(now, offered, scale);
-        for receiver in &d.receivers {
-            let Some(r) = self.receivers.get_mut(receiver) else { continue };
-            r.pace.update(now, offered, scale);
-            if r.silent_at() <= now && matches!(r.health, Health::Well | Health::Suspect { .. }) {
-                let doubt = Doubt { from: now, phase: self.rng.roll(), proven: r.last_proof };
-                *(if r.apart { &mut r.pace.doubt } else { &mut d.pace.doubt }) = doubt;
-                r.sicken(now, TRIAL_FIRST);
-                d.trouble_at = now;
+    /// Applies what changes at a destination with time alone: its pace, and the health of receivers whose
+    /// calls hang.
+    pub(super) fn update_destination(&mut self, now: Micros, id: DestinationId) {
+        let tuning = self.tuning;
+        let Some(destination) = self.destinations.get_mut(&id) else { return };
+        let offered = destination.offered_rate.get(now, tuning.offered_memory);
+        destination.pace.update(now, offered, tuning);
+        for receiver_id in &destination.receivers {
+            let Some(receiver) = self.receivers.get_mut(receiver_id) else { continue };
+            receiver.pace.update(now, offered, tuning);
+            if receiver.hung_at() <= now
+                && matches!(receiver.health, Health::Healthy | Health::Suspect { .. })
+            {
+                let unconfirmed = Unconfirmed {
+                    from: now,
+                    phase: self.rng.next_unit(),
+                    last_confirmed_send: receiver.last_confirmed_send,
+                };
+                *(if receiver.separate_route {
+                    &mut receiver.pace.unconfirmed
+                } else {
+                    &mut destination.pace.unconfirmed
+                }) = unconfirmed;
+                receiver.mark_unhealthy(now, FIRST_TRIAL_DELAY);
+                destination.last_unhealthy_at = now;
             }
         }
     }
 
-    pub(super) fn on_outcome(&mut self, now: Micros, o: &Outcome, actions: &mut Vec<Action>) {
-        self.note_wait(now, o.receiver, o.retry_after()); // whoever the call belonged to
-        let Some(m) = self.held.get_mut(&o.id) else { return };
-        let of = |a: &Attempt| a.number == o.attempt && a.receiver == o.receiver;
-        let Some(place) = m.out.iter().position(of) else { return };
-        let attempt = m.out.remove(place);
-        let may_have_run = o.verdict.may_have_run();
-        if let Some(k) = m.key.as_ref().filter(|_| may_have_run && o.verdict != Verdict::Error) {
-            self.turns.rest(k, o.id, now.plus(self.set.key_cooldown));
+    pub(super) fn on_outcome(&mut self, now: Micros, outcome: &Outcome, actions: &mut Vec<Action>) {
+        // A retry-after counts whichever message the call carried, even one that is not held any more.
+        self.record_retry_after(now, outcome.receiver, outcome.retry_after());
+        let Some(message) = self.held.get_mut(&outcome.id) else { return };
+        let is_this = |a: &Attempt| a.number == outcome.attempt && a.receiver == outcome.receiver;
+        let Some(index) = message.in_flight.iter().position(is_this) else { return };
+        let attempt = message.in_flight.remove(index);
+        let may_have_run = outcome.verdict.may_have_run();
+        if let Some(key) =
+            message.ordering_key.as_ref().filter(|_| may_have_run && outcome.verdict != Verdict::Error)
+        {
+            self.key_queues.start_cooldown(key, outcome.id, now.plus(self.settings.key_cooldown));
         }
         if may_have_run {
-            m.maybe_ran = m.maybe_ran.into_iter().chain([(attempt.sent, attempt.zone)]).min_by_key(|f| f.0);
-        }
-        m.attempts -= u32::from(o.verdict == Verdict::HeldBack).min(m.attempts);
-        m.untried &= matches!(
-            o.verdict,
+            message.first_possible_run = message
+                .first_possible_run
+                .into_iter()
+                .chain([(attempt.sent_at, attempt.zone)])
+                .min_by_key(|f| f.0);
+        }
+        message.attempts -= u32::from(outcome.verdict == Verdict::HeldBack).min(message.attempts);
+        message.untried &= matches!(
+            outcome.verdict,
             Verdict::HeldBack | Verdict::Moot | Verdict::ConnectFailed | Verdict::ConnectionLimit
         );
-        let lost = may_have_run && self.set.classes[m.class.0].effect == Effect::Unsafe;
-        let spent = m.attempts >= m.max_attempts;
-        let over = m.ended || o.finished || o.verdict == Verdict::Delivered;
-        let alone = m.out.is_empty();
-        if let Some(pause) = self.pause_after(now, o) {
-            self.held.entry(o.id).and_modify(|m| m.not_before = now.plus(pause));
-        }
-        let full_before = self.table_full(o.receiver);
-        self.learn(now, o, &attempt, actions);
+        let lost = may_have_run && self.settings.classes[message.class.0].effect == Effect::Unsafe;
+        let attempts_used_up = message.attempts >= message.max_attempts;
+        let over = message.ended || outcome.finished || outcome.verdict == Verdict::Delivered;
+        let none_in_flight = message.in_flight.is_empty();
+        if let Some(delay) = self.retry_delay(now, outcome) {
+            self.held.entry(outcome.id).and_modify(|m| m.not_before = now.plus(delay));
+        }
+        let full_before = self.table_full(outcome.receiver);
+        self.apply_outcome(now, outcome, &attempt, actions);
         if over {
-            self.close(o.id);
-        } else if alone && (lost || spent) {
-            self.end(now, o.id, None, actions);
-        } else if let Some(m) = self.held.get(&o.id) {
-            self.destinations.entry(m.destination).or_default().waiting.insert(o.id);
+            self.close(outcome.id);
+        } else if none_in_flight && (lost || attempts_used_up) {
+            self.end_undelivered(now, outcome.id, None, actions);
+        } else if let Some(message) = self.held.get(&outcome.id) {
+            self.destinations.entry(message.destination).or_default().waiting.insert(outcome.id);
         }
-        if let Some(to) = self.receivers.get(&o.receiver).map(|r| r.destination) {
-            self.agenda.look(to, now);
+        if let Some(destination) = self.receivers.get(&outcome.receiver).map(|r| r.destination) {
+            self.schedule.add(destination, now);
         }
-        self.give_back(now, o.receiver, full_before);
-        std::mem::take(&mut self.starved).into_iter().for_each(|id| self.agenda.look(id, now));
+        self.release_connections(now, outcome.receiver, full_before);
+        std::mem::take(&mut self.waiting_for_slot).into_iter().for_each(|id| self.schedule.add(id, now));
     }
 
-    /// How long a message waits for its next attempt where this one proves that it never ran: at once the table or the
-    /// limit would be as full.
-    fn pause_after(&self, now: Micros, o: &Outcome) -> Option<Micros> {
-        let m = self.held.get(&o.id)?;
-        if !matches!(o.verdict, Verdict::Full(_) | Verdict::ConnectFailed | Verdict::ConnectionLimit) {
+    /// How long a message waits for its next attempt after one that certainly never ran: without a delay, the
+    /// connection table or the limit would still be full.
+    fn retry_delay(&self, now: Micros, outcome: &Outcome) -> Option<Micros> {
+        let message = self.held.get(&outcome.id)?;
+        if !matches!(outcome.verdict, Verdict::Full(_) | Verdict::ConnectFailed | Verdict::ConnectionLimit) {
             return None;
         }
-        let table_full = o.verdict == Verdict::ConnectionLimit;
-        let leads = m.key.as_ref().is_some_and(|k| self.turns.length(k) > 1);
-        let soon = leads || o.odd() || table_full; // its receiver waits, others need not
-        let pause = if soon { LEADER_PAUSE_S } else { self.scale.refused_pause };
-        let doubled = Micros::from_secs(pause * f64::from(1u32 << (m.attempts.clamp(1, 6) - 1)));
-        let left = m.max_attempts.saturating_sub(m.attempts);
-        if !table_full || left > m.max_attempts / 2 {
+        let table_full = outcome.verdict == Verdict::ConnectionLimit;
+        let holds_up_others = message.ordering_key.as_ref().is_some_and(|k| self.key_queues.len(k) > 1);
+        // In the last two cases only this receiver has to be waited for; others may take the message at once.
+        let short = holds_up_others || outcome.refused_below_limit() || table_full;
+        let delay = if short { SHORT_RETRY_DELAY_S } else { self.tuning.retry_delay_s };
+        let doubled = Micros::from_secs(delay * f64::from(1u32 << (message.attempts.clamp(1, 6) - 1)));
+        let left = message.max_attempts.saturating_sub(message.attempts);
+        if !table_full || left > message.max_attempts / 2 {
             return Some(doubled);
         }
-        // Soon the table would be as full: the second half of the attempts is spread over the time that is left.
-        Some(doubled.max(Micros(m.deadline.since(now).0 / 2)))
+        // The table would soon be full again, so the second half of the attempts is spread over the remaining
+        // time.
+        Some(doubled.max(Micros(message.deadline.since(now).0 / 2)))
     }
 
-    /// What an outcome says of its receiver.
-    pub(super) fn learn(&mut self, now: Micros, o: &Outcome, attempt: &Attempt, actions: &mut Vec<Action>) {
-        let last = self.calls.answered(attempt.call);
-        let scale = self.scale;
-        let knew = self.doubted(o.receiver);
-        self.note_limit(o);
-        let Some(r) = self.receivers.get_mut(&o.receiver) else { return };
-        if last {
-            r.calls.remove(&attempt.call);
-        }
-        let Some(d) = self.destinations.get_mut(&r.destination) else { return };
-        let trouble = if r.apart { Micros(0) } else { d.trouble_at };
-        let told = told_share(&self.set, r);
-        let was_doubted = r.out_of_order(d);
-        let was_sick = r.sick();
-        let overtaken = r.overtaken(attempt.sent, o.elapsed.secs());
-        let pace = if r.apart { &mut r.pace } else { &mut d.pace };
-        if let Some(left) = o.remaining_share().filter(|_| told > 0.0) {
-            pace.spacing = Micros::from_secs((SPACING - SPACING_LEFT * left) / told).min(SPACING_MOST);
-            pace.wary_until = NEVER;
-            if matches!(o.verdict, Verdict::Full(_)) {
-                pace.breath = now.plus(pace.spacing);
+    /// Applies what an outcome shows about its receiver and the destination.
+    pub(super) fn apply_outcome(
+        &mut self, now: Micros, outcome: &Outcome, attempt: &Attempt, actions: &mut Vec<Action>,
+    ) {
+        let last_of_call = self.calls.message_ended(attempt.call);
+        let tuning = self.tuning;
+        let unconfirmed_before = self.any_unconfirmed(outcome.receiver);
+        self.record_limit(outcome);
+        let Some(receiver) = self.receivers.get_mut(&outcome.receiver) else { return };
+        if last_of_call {
+            receiver.calls.remove(&attempt.call);
+        }
+        let Some(destination) = self.destinations.get_mut(&receiver.destination) else { return };
+        let last_unhealthy_at =
+            if receiver.separate_route { Micros(0) } else { destination.last_unhealthy_at };
+        let limit_share = limit_share(&self.settings, receiver);
+        let was_out_of_order = receiver.out_of_order(destination);
+        let was_unhealthy = receiver.unhealthy();
+        let overtaken = receiver.overtaken(attempt.sent_at, outcome.elapsed.secs());
+        let pace = if receiver.separate_route { &mut receiver.pace } else { &mut destination.pace };
+        if let Some(remaining) = outcome.remaining_share().filter(|_| limit_share > 0.0) {
+            pace.spacing = Micros::from_secs((SPACING_FACTOR - SPACING_REDUCTION * remaining) / limit_share)
+                .min(MAX_SPACING);
+            pace.spaced_until = NEVER;
+            if matches!(outcome.verdict, Verdict::Full(_)) {
+                pace.next_call_at = now.plus(pace.spacing);
             }
         }
-        let mut tell = None;
+        let mut hint = None;
         if attempt.new_connection {
-            self.tables.entry(r.kind).or_default().note(o.verdict);
+            self.connection_tables.entry(receiver.kind).or_default().note(outcome.verdict);
         }
-        if last {
-            r.connections.put_back(now, o.verdict);
+        if last_of_call {
+            receiver.connections.call_ended(now, outcome.verdict);
         }
-        let (well, failed) = (o.verdict == Verdict::Delivered, o.verdict == Verdict::Reset);
-        if (well || failed) && last && !was_sick {
-            self.broad += BROAD * (f64::from(u8::from(failed)) - self.broad);
+        let (delivered, failed) = (outcome.verdict == Verdict::Delivered, outcome.verdict == Verdict::Reset);
+        if (delivered || failed) && last_of_call && !was_unhealthy {
+            self.background_failures +=
+                BACKGROUND_FAILURE_WEIGHT * (f64::from(u8::from(failed)) - self.background_failures);
         }
-        let unseen = now.since(r.last_proof) > self.set.collapse_window;
-        match o.verdict {
+        let not_confirmed_lately = now.since(receiver.last_confirmed_send) > self.settings.collapse_window;
+        match outcome.verdict {
             Verdict::TimedOut if overtaken => {}
-            _ if !last => {} // messages of one call share its fate
+            _ if !last_of_call => {} // all messages of a call count as one outcome
             Verdict::Delivered => {
-                if r.health == Health::Well {
-                    pace.usual += USUAL_STEP * (pace.served.get(now, scale.served_memory) - pace.usual);
+                if receiver.health == Health::Healthy {
+                    pace.usual_rate += USUAL_RATE_WEIGHT
+                        * (pace.served_rate.get(now, tuning.served_memory) - pace.usual_rate);
                 }
-                pace.served.add(now, scale.served_memory);
-                pace.refused_run = 0;
-                r.connections.refused_run = 0;
-                r.on_delivery(now, attempt.sent, o.elapsed.secs(), trouble, &self.set);
-                tell = was_doubted.then_some(PeerHint::Recovered);
+                pace.served_rate.add(now, tuning.served_memory);
+                pace.refusal_run = 0;
+                receiver.connections.refusal_run = 0;
+                receiver.on_delivery(
+                    now,
+                    attempt.sent_at,
+                    outcome.elapsed.secs(),
+                    last_unhealthy_at,
+                    &self.settings,
+                );
+                hint = was_out_of_order.then_some(PeerHint::Recovered);
             }
             Verdict::Full(wait) => {
-                let roll = Rng(self.rng.0 ^ now.0).roll(); // no draw: other chances stay as they were
-                let shut = pace.on_refusal(now, scale, told, o, roll);
-                tell = Some(wait.map_or(PeerHint::Refused, PeerHint::RetryAfter));
-                r.on_refusal(now, attempt.sent, o, shut, o.odd() && unseen);
+                // A generator of its own: the sequence of the other random numbers stays the same.
+                let random = Rng(self.rng.0 ^ now.0).next_unit();
+                let outage = pace.on_refusal(now, tuning, limit_share, outcome, random);
+                hint = Some(wait.map_or(PeerHint::Refused, PeerHint::RetryAfter));
+                receiver.on_refusal(
+                    now,
+                    attempt.sent_at,
+                    outcome,
+                    outage,
+                    outcome.refused_below_limit() && not_confirmed_lately,
+                );
             }
             Verdict::ConnectionLimit => {
-                r.on_connection_limit(now, attempt.sent, Rng(self.rng.0 ^ now.0).roll());
+                receiver.on_connection_limit(now, attempt.sent_at, Rng(self.rng.0 ^ now.0).next_unit());
             }
             Verdict::Error | Verdict::TimedOut | Verdict::Reset | Verdict::ConnectFailed => {
-                r.on_failure(now, attempt.sent, self.broad);
+                receiver.on_failure(now, attempt.sent_at, self.background_failures);
             }
             Verdict::Stale | Verdict::Cancelled | Verdict::Moot | Verdict::HeldBack => {}
         }
-        if !was_sick && r.sick() {
-            d.trouble_at = now;
-            let (receiver, destination) = (o.receiver, r.destination);
-            actions.push(Action::LogUnhealthy { receiver, destination, verdict: o.verdict });
-        }
-        // All that were told the same opening would meet there: each falls into a gap of its own after it.
-        if r.doubted(d) && (o.retry_after() > Micros(0) || !knew) {
-            let proof = r.last_proof;
-            let pace = if r.apart { &mut r.pace } else { &mut d.pace };
-            let proven = if knew { pace.doubt.proven } else { proof };
-            let phase = self.rng.roll() + if knew { 0.5 } else { 0.0 };
-            pace.doubt = Doubt { from: now.max(pace.wait_until), phase, proven };
-        }
-        if let Some(news) = tell.filter(|_| self.set.peer_hints) {
-            self.tell(now, o.receiver, news, actions);
+        if !was_unhealthy && receiver.unhealthy() {
+            destination.last_unhealthy_at = now;
+            let (receiver, destination) = (outcome.receiver, receiver.destination);
+            actions.push(Action::LogUnhealthy { receiver, destination, verdict: outcome.verdict });
+        }
+        // Without a random phase, all senders that learn the same end of a retry-after would call at that
+        // moment. Each sender places its first call at random in a gap after it.
+        if receiver.unconfirmed(destination) && (outcome.retry_after() > Micros(0) || !unconfirmed_before) {
+            let confirmed = receiver.last_confirmed_send;
+            let pace = if receiver.separate_route { &mut receiver.pace } else { &mut destination.pace };
+            let last_confirmed_send =
+                if unconfirmed_before { pace.unconfirmed.last_confirmed_send } else { confirmed };
+            let phase = self.rng.next_unit() + if unconfirmed_before { 0.5 } else { 0.0 };
+            pace.unconfirmed = Unconfirmed { from: now.max(pace.wait_until), phase, last_confirmed_send };
+        }
+        if let Some(hint) = hint.filter(|_| self.settings.peer_hints) {
+            self.send_peer_hint(now, outcome.receiver, hint, actions);
         }
     }
 }
--- a/src/policy/receiver_gates.rs
+++ b/src/policy/receiver_gates.rs
@@ -1,103 +1,143 @@
-//! The gates of one receiver: health, calls that it may hold, and the budget of one that comes back cold.
+//! The gates of one receiver: its health, the calls in flight that it may have, and the budget of a
+//! destination that recovers from an outage.
 
 use super::*;
 
 impl PolicyEngine {
-    /// The gates of one receiver: told wait and pace of a separate route, health, connections, cold budget.
-    pub(super) fn receiver_open(
-        &self, now: Micros, r: &Receiver, d: &Destination, class: ClassId,
+    /// Passes where a call may go to this receiver: retry-after and pace of a separate route, calls in
+    /// flight, connections, health, recovery budget.
+    pub(super) fn receiver_gate(
+        &self, now: Micros, receiver: &Receiver, destination: &Destination, class: ClassId,
     ) -> Gate<()> {
-        let calls = r.calls.len();
-        not_before(now, r.pace.ready_at(now))?;
-        room(calls < self.room_at(now, r, d))?;
-        r.connection_open(now)?;
-        match r.health {
-            Health::Well if !r.doubted(d) => Ok(()),
-            Health::Well | Health::Suspect { .. } => {
-                room(calls == 0)?;
-                // Where proofs are frequent the next one tells soon enough; else one call may tell at once.
-                let soon = |t: Micros| now.since(t) <= self.set.collapse_window;
-                if soon(r.last_proof) { Ok(()) } else { self.in_budget(now, r, d, 0.0) }
+        let calls = receiver.calls.len();
+        not_before(now, receiver.pace.ready_at(now))?;
+        require(calls < self.max_calls_in_flight(now, receiver, destination))?;
+        receiver.connection_gate(now)?;
+        match receiver.health {
+            Health::Healthy if !receiver.unconfirmed(destination) => Ok(()),
+            Health::Healthy | Health::Suspect { .. } => {
+                require(calls == 0)?;
+                // If deliveries are frequent, the next one soon shows the health. Otherwise one call may do
+                // so at once.
+                let recent = |t: Micros| now.since(t) <= self.settings.collapse_window;
+                if recent(receiver.last_confirmed_send) {
+                    Ok(())
+                } else {
+                    self.recovery_budget_gate(now, receiver, destination, 0.0)
+                }
             }
-            // Safe messages go first as trials; one that a trial may use up only where none came in time.
-            Health::Sick { trial_at, backoff, .. } => {
-                let risky = self.set.classes[class.0].effect != Effect::Safe;
-                let risk = if risky { backoff.min(TRIAL_MOST) } else { Micros(0) };
-                let probe = self.set.probe_class == Some(class);
-                let later = if probe { Micros(0) } else { risk.max(self.set.message_probe_delay) };
-                not_before(now, trial_at.plus(later))?;
-                room(calls == 0)?;
-                self.in_budget(now, r, d, 0.0)
+            // Messages that are safe to repeat go first as trial calls. Any other message may be lost with a
+            // failed trial call, so it goes only if no safe one came in time.
+            Health::Unhealthy { trial_at, backoff, .. } => {
+                let risky = self.settings.classes[class.0].effect != Effect::Safe;
+                let risk_delay = if risky { backoff.min(MAX_TRIAL_DELAY) } else { Micros(0) };
+                let probe = self.settings.probe_class == Some(class);
+                let delay = if probe { Micros(0) } else { risk_delay.max(self.settings.message_probe_delay) };
+                not_before(now, trial_at.plus(delay))?;
+                require(calls == 0)?;
+                self.recovery_budget_gate(now, receiver, destination, 0.0)
+            }
+            Health::Recovering { since } => {
+                self.recovery_budget_gate(now, receiver, destination, now.since(since).secs())
             }
-            Health::Recovering { since } => self.in_budget(now, r, d, now.since(since).secs()),
         }
     }
 
-    /// Calls that a receiver may hold: a slow one about what it usually keeps busy, an unknown one a few.
-    pub(super) fn room_at(&self, now: Micros, r: &Receiver, d: &Destination) -> usize {
-        if r.slow(now, false) {
-            let usual = if r.apart { r.pace.usual } else { d.pace.usual / self.routes(d) as f64 };
-            (usual * r.norm * BUSY_STRETCH).ceil().max(1.0) as usize
-        } else if r.last_proof == Micros(0) {
-            (self.set.slots as usize / 4).max(1)
+    /// Calls in flight that a receiver may have: if slow, about as many as it usually keeps busy; if nothing
+    /// is known of it, a quarter of the slots.
+    pub(super) fn max_calls_in_flight(
+        &self, now: Micros, receiver: &Receiver, destination: &Destination,
+    ) -> usize {
+        if receiver.slow(now, false) {
+            let usual_rate = if receiver.separate_route {
+                receiver.pace.usual_rate
+            } else {
+                destination.pace.usual_rate / self.receiver_count(destination) as f64
+            };
+            (usual_rate * receiver.usual_latency * SLOW_CONCURRENCY_FACTOR).ceil().max(1.0) as usize
+        } else if receiver.last_confirmed_send == Micros(0) {
+            (self.settings.slots as usize / 4).max(1)
         } else {
             usize::MAX
         }
     }
 
-    /// A destination that comes back is not pushed over by all senders that met its outage together. Each may
-    /// hold messages, none knows when it returns: in any window they must add up to less than two thirds of
-    /// multiple x present capacity x window, from which on they are blamed. Shares add up to the capacity
-    /// (`likely_share`); the part is what it surely has, cold until a proof. A share under one call is a gap
-    /// between calls, and the first falls anywhere in it by chance: of senders that learn, or are told an
-    /// opening, at one moment as many come in each window as the shares say. All messages and trials count,
-    /// for all doubted receivers. The other bound: half of what those send that have not met the outage,
-    /// e^-x of all if each calls x times meanwhile; a restarted sender knows no such time, so has none of it.
-    pub(super) fn in_budget(&self, now: Micros, r: &Receiver, d: &Destination, warm_for: f64) -> Gate<()> {
-        if self.set.collapse_multiple <= 0.0 {
+    /// Limits the calls to a destination that may be back from an outage, so that the senders that saw the
+    /// outage don't overload it together. Each of them may hold messages, and none knows when the destination
+    /// returns.
+    ///
+    /// In any collapse window, their sends must add up to less than two thirds of collapse multiple x present
+    /// capacity x window; from two thirds on, these senders are blamed for a collapse. The shares of the
+    /// senders add up to the capacity (`likely_capacity_share`), of which only the part counts that the
+    /// destination surely has: the share of a cold start, until a delivery shows that it warms up.
+    ///
+    /// A budget below one call becomes a gap between calls, and the first call falls at random within the
+    /// gap. So if many senders learn of the outage, or of the end of a retry-after, at the same moment, each
+    /// window gets as many calls as their shares allow. All messages and trial calls count, to all
+    /// unconfirmed receivers.
+    ///
+    /// There is a second bound, which applies if it allows more: half of what the senders send that have not
+    /// seen the outage yet. They are e^-x of all senders if each sender makes x calls on average meanwhile. A
+    /// restarted sender doesn't know how long that has been and gets nothing by this bound.
+    pub(super) fn recovery_budget_gate(
+        &self, now: Micros, receiver: &Receiver, destination: &Destination, warm_for: f64,
+    ) -> Gate<()> {
+        if self.settings.collapse_multiple <= 0.0 {
             return Ok(());
         }
-        let (pace, routes) = if r.apart { (&r.pace, 1) } else { (&d.pace, self.routes(d)) };
-        let part_doubted = self.in_doubt(r, d).count() as f64 / routes as f64;
-        let warm = (warm_for / self.set.warm_up_time.secs().max(0.001)).min(1.0);
-        let part_at = |warm: f64| self.set.cold_start_share + (1.0 - self.set.cold_start_share) * warm;
-        let window = self.set.collapse_window;
-        let asked =
-            d.offered.get(now, self.scale.rate_memory) / if r.apart { self.routes(d) as f64 } else { 1.0 };
-        let capacity = likely_share(&self.set, r, pace, asked) * part_doubted;
-        let blind = capacity * now.since(pace.doubt.proven).secs();
-        let fresh = FRESH_SHARE / blind.exp_m1();
-        let part = |warm: f64| (self.set.collapse_multiple * BUDGET_SHARE * part_at(warm)).max(fresh);
-        let budget = capacity * part(warm) * window.secs();
-        let sends = self.in_doubt(r, d).flat_map(|r| r.sends.iter().copied());
+        let (pace, receiver_count) = if receiver.separate_route {
+            (&receiver.pace, 1)
+        } else {
+            (&destination.pace, self.receiver_count(destination))
+        };
+        let unconfirmed_part =
+            self.unconfirmed_siblings(receiver, destination).count() as f64 / receiver_count as f64;
+        let warmth = (warm_for / self.settings.warm_up_time.secs().max(0.001)).min(1.0);
+        let capacity_part_at =
+            |warmth: f64| self.settings.cold_start_share + (1.0 - self.settings.cold_start_share) * warmth;
+        let window = self.settings.collapse_window;
+        let offered = destination.offered_rate.get(now, self.tuning.offered_memory)
+            / if receiver.separate_route { self.receiver_count(destination) as f64 } else { 1.0 };
+        let capacity = likely_capacity_share(&self.settings, receiver, pace, offered) * unconfirmed_part;
+        let expected_calls = capacity * now.since(pace.unconfirmed.last_confirmed_send).secs();
+        let unaware_bound = UNAWARE_TRAFFIC_SHARE / expected_calls.exp_m1();
+        let allowed_multiple = |warmth: f64| {
+            (self.settings.collapse_multiple * RECOVERY_BUDGET_SHARE * capacity_part_at(warmth))
+                .max(unaware_bound)
+        };
+        let budget = capacity * allowed_multiple(warmth) * window.secs();
+        let sends =
+            self.unconfirmed_siblings(receiver, destination).flat_map(|r| r.recent_sends.iter().copied());
         if budget >= 1.0 {
             let recent: f64 = sends.filter(|s| now.since(s.0) < window).map(|s| s.1).sum();
-            return not_before(now, if recent + 1.0 <= budget { now } else { now.plus(LOOK_AGAIN) });
+            return not_before(now, if recent + 1.0 <= budget { now } else { now.plus(RECHECK_INTERVAL) });
         }
-        // It warmed while the gap passed: the middle of that time counts.
-        let gap = Micros::from_secs((capacity * part(warm / 2.0)).recip());
-        let first = pace.doubt.from.plus(Micros::from_secs(gap.secs() * pace.doubt.phase));
-        let last = sends.filter(|s| s.0 > pace.doubt.from).max_by_key(|s| s.0);
+        // The destination has warmed up during the gap, so the warmth at half that time counts.
+        let gap = Micros::from_secs((capacity * allowed_multiple(warmth / 2.0)).recip());
+        let first = pace.unconfirmed.from.plus(Micros::from_secs(gap.secs() * pace.unconfirmed.phase));
+        let last = sends.filter(|s| s.0 > pace.unconfirmed.from).max_by_key(|s| s.0);
         let next = last.map_or(first, |s| s.0.plus(Micros::from_secs(gap.secs() * s.1)).max(first));
-        not_before(now, next).map_err(|t| t.min(now.plus(UPDATE_EVERY)))
+        not_before(now, next).map_err(|t| t.min(now.plus(CONTROL_UPDATE_INTERVAL)))
     }
 }
 
-/// This sender's even part of the limit that answers or the list tell; zero if none is told.
-pub(super) fn told_share(set: &Settings, r: &Receiver) -> f64 {
-    let listed = match set.weights {
+/// This sender's equal share of the limit that answers report or, failing that, the list states; zero if none
+/// is known.
+pub(super) fn limit_share(settings: &Settings, receiver: &Receiver) -> f64 {
+    let listed = match settings.weights {
         Weights::Off => 0.0,
-        Weights::Nominal => r.weight,
-        Weights::Rough => r.weight * ROUGH_CAUTION,
+        Weights::Nominal => receiver.weight,
+        Weights::Rough => receiver.weight * ROUGH_WEIGHT_FACTOR,
     };
-    let told = r.limit.unwrap_or(listed);
-    if told.is_finite() { told.max(0.0) / f64::from(set.sender_count.max(1)) } else { 0.0 }
+    let limit = receiver.reported_limit.unwrap_or(listed);
+    if limit.is_finite() { limit.max(0.0) / f64::from(settings.sender_count.max(1)) } else { 0.0 }
 }
 
-/// This sender's share of what a destination or route takes; part of what is asked for where nothing is known.
-fn likely_share(set: &Settings, r: &Receiver, pace: &Pace, asked: f64) -> f64 {
-    let told = told_share(set, r);
-    let known = if pace.usual > 0.0 { pace.usual } else { asked * UNKNOWN_PART };
-    let least = UNKNOWN_CAPACITY / f64::from(set.sender_count.max(1));
-    if told > 0.0 { told.max(pace.usual) } else { known.max(least) }
+/// This sender's share of the capacity of a destination or separate route, in calls a second. Where nothing
+/// is known, a part of the offered rate.
+fn likely_capacity_share(settings: &Settings, receiver: &Receiver, pace: &Pace, offered: f64) -> f64 {
+    let limit_share = limit_share(settings, receiver);
+    let known = if pace.usual_rate > 0.0 { pace.usual_rate } else { offered * UNKNOWN_CAPACITY_SHARE };
+    let min = MIN_UNKNOWN_CAPACITY_PER_S / f64::from(settings.sender_count.max(1));
+    if limit_share > 0.0 { limit_share.max(pace.usual_rate) } else { known.max(min) }
 }
--- a/src/policy/sending.rs
+++ b/src/policy/sending.rs
@@ -1,176 +1,221 @@
-//! What goes where and when: the single path of a send, with every rule and bound as a gate.
+//! Which message goes where and when. All sends take the same path, in which every rule and limit is a gate.
 
 use super::*;
 
 impl PolicyEngine {
-    /// What sending now rather than `horizon` later is worth, with a part of the worth itself. What an earlier process
-    /// has left untried goes before all: it has waited through a restart already.
-    pub(super) fn urgency(&self, now: Micros, m: &Held, horizon: f64) -> f64 {
-        let soon = if m.untried && m.out.is_empty() { f64::INFINITY } else { m.worth(&self.set, now) };
-        soon - m.worth(&self.set, now.plus(Micros::from_secs(horizon))) + 0.3 * soon
+    /// The value that a delivery now has over one `horizon` seconds later, plus a part of the value itself.
+    /// Messages that an earlier process left untried come first: they have already waited through a restart.
+    pub(super) fn urgency(&self, now: Micros, message: &HeldMessage, horizon: f64) -> f64 {
+        let value_now = if message.untried && message.in_flight.is_empty() {
+            f64::INFINITY
+        } else {
+            message.value(&self.settings, now)
+        };
+        value_now - message.value(&self.settings, now.plus(Micros::from_secs(horizon))) + 0.3 * value_now
     }
 
-    /// Offers the messages of these destinations to the gates, most worth first. Returns when to look again.
-    pub(super) fn send_best(
+    /// Tries to send the messages of these destinations, the most urgent first. Returns when each destination
+    /// is next due for a decision.
+    pub(super) fn send_waiting(
         &mut self, now: Micros, due: &BTreeSet<DestinationId>, actions: &mut Vec<Action>,
     ) -> BTreeMap<DestinationId, Micros> {
         let mut ranked = Vec::new();
-        for d in due.iter().filter_map(|id| self.destinations.get(id)) {
-            for (id, m) in d.waiting.iter().filter_map(|id| Some((id, self.held.get(id)?))) {
-                // A copy goes after all that have none out.
-                let worth = self.urgency(now, m, 2.0) * if m.out.is_empty() { 1.0 } else { 0.1 };
-                ranked.push((worth, m.deadline, *id, m.destination));
+        for destination in due.iter().filter_map(|id| self.destinations.get(id)) {
+            for (id, message) in destination.waiting.iter().filter_map(|id| Some((id, self.held.get(id)?))) {
+                // A second copy goes after all messages without an attempt in flight.
+                let urgency =
+                    self.urgency(now, message, 2.0) * if message.in_flight.is_empty() { 1.0 } else { 0.1 };
+                ranked.push((urgency, message.deadline, *id, message.destination));
             }
         }
         ranked.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)).then(a.2.cmp(&b.2)));
-        let mut looks: BTreeMap<_, _> = due.iter().map(|id| (*id, NEVER)).collect();
-        let mut behind: BTreeMap<DestinationId, f64> = BTreeMap::new();
+        let mut next_checks: BTreeMap<_, _> = due.iter().map(|id| (*id, NEVER)).collect();
+        let mut queued: BTreeMap<DestinationId, f64> = BTreeMap::new();
         for (_, _, id, destination) in ranked {
             if let Err(at) = self.try_send(now, id, actions) {
-                let ahead = behind.entry(destination).or_default();
-                let at = at.min(self.give_up(now, id, ahead, actions));
-                looks.entry(destination).and_modify(|t| *t = at.min(*t));
+                let calls_ahead = queued.entry(destination).or_default();
+                let at = at.min(self.end_if_too_late(now, id, calls_ahead, actions));
+                next_checks.entry(destination).and_modify(|t| *t = at.min(*t));
             }
         }
         self.calls.seal();
-        looks
+        next_checks
     }
 
-    /// What cannot go in time, by its own clock or the pace with better ones ahead, ends at once.
-    /// Returns when it would have to.
-    pub(super) fn give_up(
-        &mut self, now: Micros, id: MessageId, ahead: &mut f64, actions: &mut Vec<Action>,
+    /// Ends a message at once if it can't be sent in time: its time is over, a retry-after lasts too long, or
+    /// the pace allows too few calls for the more urgent messages and this one. Otherwise returns when its
+    /// time will be over.
+    pub(super) fn end_if_too_late(
+        &mut self, now: Micros, id: MessageId, calls_ahead: &mut f64, actions: &mut Vec<Action>,
     ) -> Micros {
-        let Some(m) = self.held.get(&id).filter(|m| m.out.is_empty()) else { return NEVER };
-        let Some(d) = self.destinations.get(&m.destination) else { return NEVER };
-        *ahead += if m.untried { 0.0 } else { 1.0 }; // which goes first, and has its call to come
-        let paced = d.pace.control.as_ref().map_or(0.0, |c| c.soonest(*ahead));
-        let hopeless = m.sends_end(&self.set, None).since(MARGIN);
-        let listed = d.receivers.iter().filter_map(|r| self.receivers.get(r));
-        let told = listed.filter(|r| r.listing == EntryState::Ready).map(|r| r.told_until(d)).min();
-        let wait = Micros::from_secs(paced).max(told.unwrap_or_default().since(now));
-        if now >= hopeless || now.plus(wait) > m.deadline {
-            self.end(now, id, Some(wait).filter(|w| *w > Micros(0)), actions);
+        let Some(message) = self.held.get(&id).filter(|m| m.in_flight.is_empty()) else { return NEVER };
+        let Some(destination) = self.destinations.get(&message.destination) else { return NEVER };
+        // An untried message goes first, and its call is still to come.
+        *calls_ahead += if message.untried { 0.0 } else { 1.0 };
+        let pace_wait = destination.pace.control.as_ref().map_or(0.0, |c| c.min_wait(*calls_ahead));
+        let too_late_at = message.send_deadline(&self.settings, None).since(ANSWER_MARGIN);
+        let receivers = destination.receivers.iter().filter_map(|r| self.receivers.get(r));
+        let wait_until =
+            receivers.filter(|r| r.list_state == EntryState::Ready).map(|r| r.wait_until(destination)).min();
+        let wait = Micros::from_secs(pace_wait).max(wait_until.unwrap_or_default().since(now));
+        if now >= too_late_at || now.plus(wait) > message.deadline {
+            self.end_undelivered(now, id, Some(wait).filter(|w| *w > Micros(0)), actions);
             return NEVER;
         }
-        hopeless
+        too_late_at
     }
 
-    /// The single path of a send: every rule and bound is a gate here.
+    /// Sends a message if every gate is open. No other code sends.
     pub(super) fn try_send(&mut self, now: Micros, id: MessageId, actions: &mut Vec<Action>) -> Gate<()> {
-        let m = self.held.get(&id).ok_or(NEVER)?;
-        let class = &self.set.classes[m.class.0];
-        if m.ended || m.attempts >= m.max_attempts || now >= m.sends_end(&self.set, None).since(MARGIN) {
+        let message = self.held.get(&id).ok_or(NEVER)?;
+        let class = &self.settings.classes[message.class.0];
+        if message.ended
+            || message.attempts >= message.max_attempts
+            || now >= message.send_deadline(&self.settings, None).since(ANSWER_MARGIN)
+        {
             return Err(NEVER);
         }
-        not_before(now, m.not_before)?;
-        m.key.as_ref().map_or(Ok(()), |k| self.turns.gate(now, k, id))?;
-        self.copy_open(now, m)?;
-        let group = match (m.first(None), class.effect) {
+        not_before(now, message.not_before)?;
+        message.ordering_key.as_ref().map_or(Ok(()), |k| self.key_queues.gate(now, k, id))?;
+        self.second_copy_gate(now, message)?;
+        let zone = match (message.first_send(None), class.effect) {
             (Some(_), Effect::Unsafe) => return Err(NEVER),
             (Some((_, zone)), Effect::Keyed { scope: DedupScope::Zone, .. }) => Some(zone),
             _ => None,
         };
-        let d = self.destinations.get(&m.destination).ok_or(NEVER)?;
-        let joined = d.receivers.iter().copied().find(|r| {
-            let Some(known) = self.receivers.get(r).filter(|_| self.calls.joinable(*r)) else { return false };
-            group.is_none_or(|z| known.zone == z)
-                && m.out.iter().all(|a| a.receiver != *r)
-                && (!known.doubted(d) || known.sends.back().is_some_and(|s| s.1 < MOST_WEIGHT))
+        let destination = self.destinations.get(&message.destination).ok_or(NEVER)?;
+        let joined = destination.receivers.iter().copied().find(|id| {
+            let Some(receiver) = self.receivers.get(id).filter(|_| self.calls.can_join(*id)) else {
+                return false;
+            };
+            zone.is_none_or(|z| receiver.zone == z)
+                && message.in_flight.iter().all(|a| a.receiver != *id)
+                && (!receiver.unconfirmed(destination)
+                    || receiver.recent_sends.back().is_some_and(|s| s.1 < MAX_CALL_WEIGHT))
         });
         let target = match joined {
-            Some(r) => r,
-            None if self.calls.len() >= self.set.slots as usize => {
-                self.starved.insert(m.destination);
+            Some(receiver) => receiver,
+            None if self.calls.len() >= self.settings.slots as usize => {
+                self.waiting_for_slot.insert(message.destination);
                 return Err(NEVER);
             }
             None => {
-                self.destination_open(now, d)?;
-                self.choose(now, d, group, m)?
+                self.destination_gate(now, destination)?;
+                self.choose_receiver(now, destination, zone, message)?
             }
         };
-        let patience = self.patience(now, m, target);
-        self.commit(now, id, target, joined.is_some());
-        actions.push(Action::Send { id, receiver: target, timeout: patience });
+        let timeout = self.call_timeout(now, message, target);
+        self.start_attempt(now, id, target, joined.is_some());
+        actions.push(Action::Send { id, receiver: target, timeout });
         Ok(())
     }
 
-    /// Where one attempt is out: may a second go beside it? Only where that one is late by what is known of its receiver.
-    pub(super) fn copy_open(&self, now: Micros, m: &Held) -> Gate<()> {
-        let Some(first) = m.out.first() else { return Ok(()) };
-        room(m.out.len() < 2 && self.set.second_copies && self.copies >= 1.0)?;
-        let r = self.receivers.get(&first.receiver).ok_or(NEVER)?;
-        not_before(now, first.sent.plus(Micros::from_secs(COPY_AFTER * r.slow_bar())))
+    /// Passes if no attempt is in flight, or if a second copy may go because the first attempt is late for
+    /// its receiver.
+    pub(super) fn second_copy_gate(&self, now: Micros, message: &HeldMessage) -> Gate<()> {
+        let Some(first) = message.in_flight.first() else { return Ok(()) };
+        require(
+            message.in_flight.len() < 2 && self.settings.second_copies && self.second_copy_credit >= 1.0,
+        )?;
+        let receiver = self.receivers.get(&first.receiver).ok_or(NEVER)?;
+        not_before(
+            now,
+            first.sent_at.plus(Micros::from_secs(SECOND_COPY_DELAY_FACTOR * receiver.slow_threshold())),
+        )
     }
 
-    /// The shared gates of a destination: told wait, pace, calls in flight.
-    pub(super) fn destination_open(&self, now: Micros, d: &Destination) -> Gate<()> {
-        let known = d.receivers.iter().filter_map(|r| self.receivers.get(r));
-        let in_flight: usize = known.clone().map(|r| r.calls.len()).sum();
-        let ailing =
-            known.clone().filter(|r| r.here()).any(|r| r.health != Health::Well || r.slow(now, true));
-        let cap = f64::from(self.set.slots) * if ailing { CAP_SICK } else { CAP_WELL };
-        room(in_flight < (cap as usize).max(1))?;
-        not_before(now, d.pace.ready_at(now))
+    /// The gates of a destination as a whole: its calls in flight, its retry-after and its pace.
+    pub(super) fn destination_gate(&self, now: Micros, destination: &Destination) -> Gate<()> {
+        let receivers = destination.receivers.iter().filter_map(|r| self.receivers.get(r));
+        let in_flight: usize = receivers.clone().map(|r| r.calls.len()).sum();
+        let degraded = receivers
+            .clone()
+            .filter(|r| r.listed_or_busy())
+            .any(|r| r.health != Health::Healthy || r.slow(now, true));
+        let max_calls =
+            f64::from(self.settings.slots) * if degraded { DEGRADED_SLOT_SHARE } else { HEALTHY_SLOT_SHARE };
+        require(in_flight < (max_calls as usize).max(1))?;
+        not_before(now, destination.pace.ready_at(now))
     }
 
-    pub(super) fn choose(
-        &self, now: Micros, d: &Destination, group: Option<ZoneId>, m: &Held,
+    /// Chooses the receiver of least cost among those with open gates, in `zone` if one is given. An
+    /// unhealthy receiver whose trial call is due comes first.
+    pub(super) fn choose_receiver(
+        &self, now: Micros, destination: &Destination, zone: Option<ZoneId>, message: &HeldMessage,
     ) -> Gate<ReceiverId> {
         let mut best: Option<(f64, ReceiverId)> = None;
-        let mut later = NEVER;
-        for id in &d.receivers {
-            let Some(r) = self.receivers.get(id) else { continue };
-            let out = m.out.iter().any(|a| a.receiver == *id);
-            if r.listing != EntryState::Ready || out || group.is_some_and(|z| r.zone != z) {
+        let mut retry_at = NEVER;
+        for id in &destination.receivers {
+            let Some(receiver) = self.receivers.get(id) else { continue };
+            let in_flight_there = message.in_flight.iter().any(|a| a.receiver == *id);
+            if receiver.list_state != EntryState::Ready
+                || in_flight_there
+                || zone.is_some_and(|z| receiver.zone != z)
+            {
                 continue;
             }
-            if let Err(at) = self.receiver_open(now, r, d, m.class) {
-                later = later.min(at);
+            if let Err(at) = self.receiver_gate(now, receiver, destination, message.class) {
+                retry_at = retry_at.min(at);
                 continue;
             }
-            let fee = if r.apart { self.set.zone_fees.get(r.zone.0).copied().unwrap_or(0.0) } else { 0.0 };
-            let trial = if r.sick() { -1.0 } else { 1.0 };
-            let cost = trial * r.latency * (1.0 + r.calls.len() as f64) + fee * FEE_SECONDS;
+            let fee = if receiver.separate_route {
+                self.settings.zone_fees.get(receiver.zone.0).copied().unwrap_or(0.0)
+            } else {
+                0.0
+            };
+            let sign = if receiver.unhealthy() { -1.0 } else { 1.0 };
+            let cost =
+                sign * receiver.recent_latency * (1.0 + receiver.calls.len() as f64) + fee * SECONDS_PER_FEE;
             if best.is_none_or(|b| cost < b.0) {
                 best = Some((cost, *id));
             }
         }
-        best.map(|b| b.1).ok_or(later)
+        best.map(|b| b.1).ok_or(retry_at)
     }
 
-    /// How long to wait for an answer: well past the usual, longer where a time-out loses the message.
-    pub(super) fn patience(&self, now: Micros, m: &Held, target: ReceiverId) -> Micros {
-        let left = m.deadline.since(now);
-        let Some(r) = self.receivers.get(&target) else { return left };
-        let wait = Micros::from_secs((PATIENCE_NORMS * r.norm).max(3.0 * r.latency)).max(PATIENCE_LEAST);
-        let class = &self.set.classes[m.class.0];
-        let long = wait.max(Micros(class.give_up_after.0 / PATIENCE_PART));
-        let wait = match class.effect {
-            Effect::Unsafe => Micros::from_secs(wait.secs() * PATIENCE_UNSAFE),
+    /// How long to wait for an answer: well beyond the usual latency, and longer where a timeout loses the
+    /// message.
+    pub(super) fn call_timeout(&self, now: Micros, message: &HeldMessage, target: ReceiverId) -> Micros {
+        let left = message.deadline.since(now);
+        let Some(receiver) = self.receivers.get(&target) else { return left };
+        let timeout = Micros::from_secs(
+            (TIMEOUT_LATENCY_FACTOR * receiver.usual_latency).max(3.0 * receiver.recent_latency),
+        )
+        .max(MIN_TIMEOUT);
+        let class = &self.settings.classes[message.class.0];
+        let long = timeout.max(Micros(class.give_up_after.0 / TIMEOUTS_PER_LIFETIME));
+        let timeout = match class.effect {
+            Effect::Unsafe => Micros::from_secs(timeout.secs() * UNSAFE_TIMEOUT_FACTOR),
             Effect::Safe => long,
             Effect::Keyed { window, .. } => long.min(Micros(window.0 * 6 / 10)),
         };
-        wait.min(left).max(Micros(1))
+        timeout.min(left).max(Micros(1))
     }
 
-    /// Until when the rules let an attempt go.
+    /// The time until which the rules allow this attempt to be sent; none if the message is not held.
     pub fn send_deadline(&self, id: MessageId, attempt: u32) -> Option<Micros> {
-        Some(self.held.get(&id)?.sends_end(&self.set, Some(attempt)))
+        Some(self.held.get(&id)?.send_deadline(&self.settings, Some(attempt)))
     }
 
-    /// A call is about to leave: what was decided when it was queued is asked again, for it may have waited for its
-    /// connection meanwhile. Whoever drains is the caller's to say, who knows when that was told.
-    pub fn recheck_send(&self, now: Micros, id: MessageId, attempt: u32, to: ReceiverId) -> SendRecheck {
-        let Some(m) = self.held.get(&id).filter(|m| !m.ended) else { return SendRecheck::MessageEnded };
-        let out = m.out.iter().any(|a| a.number == attempt);
-        let known = self.receivers.get(&to).zip(self.destinations.get(&m.destination));
-        let Some((r, d)) = known.filter(|_| out) else { return SendRecheck::MessageEnded };
-        let late = if now < m.sends_end(&self.set, Some(attempt)) {
+    /// Checks a decided send again just before its call leaves, since the call may have waited for its
+    /// connection in the meantime. Drains are not checked here: only the caller knows when a drain was
+    /// announced.
+    pub fn recheck_send(
+        &self, now: Micros, id: MessageId, attempt: u32, receiver: ReceiverId,
+    ) -> SendRecheck {
+        let Some(message) = self.held.get(&id).filter(|m| !m.ended) else {
+            return SendRecheck::MessageEnded;
+        };
+        let in_flight = message.in_flight.iter().any(|a| a.number == attempt);
+        let known = self.receivers.get(&receiver).zip(self.destinations.get(&message.destination));
+        let Some((receiver, destination)) = known.filter(|_| in_flight) else {
+            return SendRecheck::MessageEnded;
+        };
+        let by_deadline = if now < message.send_deadline(&self.settings, Some(attempt)) {
             SendRecheck::Allowed
         } else {
             SendRecheck::NoLongerAllowed
         };
-        if now < r.told_until(d) { SendRecheck::WithinRetryAfter } else { late }
+        if now < receiver.wait_until(destination) { SendRecheck::WithinRetryAfter } else { by_deadline }
     }
 }
