--- a/src/policy.rs
+++ b/src/policy.rs
@@ -51,8 +51,8 @@
     /// Charges a message to its tenant's share at this sender, a bucket that holds two seconds of the
     /// allowance. Returns whether the message is beyond the share.
     pub(super) fn exceeds_tenant_share(&mut self, now: Micros, tenant: TenantId) -> bool {
-        let Some(t) = self.settings.tenants.get(tenant.0) else { return false };
-        let rate = t.allowance_per_s / self.tuning.sender_count;
+        let Some(limits) = self.settings.tenants.get(tenant.0) else { return false };
+        let rate = limits.allowance_per_s / self.tuning.sender_count;
         rate > 0.0
             && !self.tenant_buckets[tenant.0].try_take(
                 now,
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -43,9 +43,9 @@
     /// `include_overtaken`.
     pub(super) fn slow(&self, now: Micros, include_overtaken: bool) -> bool {
         let threshold = self.slow_threshold();
-        let late = |t: &Micros| {
-            let age = now.since(*t).secs();
-            age > threshold * 1.5 && (include_overtaken || !self.overtaken(*t, age))
+        let late = |sent_at: &Micros| {
+            let age = now.since(*sent_at).secs();
+            age > threshold * 1.5 && (include_overtaken || !self.overtaken(*sent_at, age))
         };
         self.recent_latency > threshold || self.calls.values().any(late)
     }
--- a/src/policy/intake.rs
+++ b/src/policy/intake.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 
-/// A removed receiver without calls is forgotten after this time.
+/// A receiver that left the list is forgotten once this time has passed since its last call.
 const FORGET_AFTER: Micros = Micros(60_000_000);
 const CLEAN_UP_INTERVAL: Micros = Micros(10_000_000);
 /// Refusal hints of all senders together.
@@ -178,6 +178,7 @@
         }
     }
 
+    /// Accepts a message. It waits for its destination until a decision sends or ends it.
     pub(super) fn on_submit(&mut self, now: Micros, message: Message) {
         let known = self.held.contains_key(&message.id);
         let Some(class) = self.settings.classes.get(message.class.0).filter(|_| !known) else { return };
@@ -318,10 +319,10 @@
         &'a self, receiver: &'a Receiver, destination: &'a Destination,
     ) -> impl Iterator<Item = &'a Receiver> {
         let receivers = destination.receivers.iter().filter_map(|r| self.receivers.get(r));
-        receivers.filter(move |r| {
-            r.listed_or_busy()
-                && (!receiver.separate_route || std::ptr::eq(*r, receiver))
-                && r.unconfirmed(destination)
+        receivers.filter(move |sibling| {
+            sibling.listed_or_busy()
+                && (!receiver.separate_route || std::ptr::eq(*sibling, receiver))
+                && sibling.unconfirmed(destination)
         })
     }
 
@@ -341,8 +342,9 @@
         self.next_clean_up = now.plus(CLEAN_UP_INTERVAL);
         self.key_queues.clean_up(now);
         // A receiver that leaves the list may come back, so its retry-after and health are kept for a while.
-        let unused = |r: &Receiver| {
-            r.recent_sends.back().is_none_or(|s| now.since(s.0) > FORGET_AFTER) && r.calls.is_empty()
+        let unused = |receiver: &Receiver| {
+            receiver.recent_sends.back().is_none_or(|s| now.since(s.0) > FORGET_AFTER)
+                && receiver.calls.is_empty()
         };
         self.receivers
             .retain(|_, r| r.list_state != EntryState::Gone || r.pace.wait_until > now || !unused(r));
--- a/src/policy/learning.rs
+++ b/src/policy/learning.rs
@@ -72,6 +72,8 @@
         }
     }
 
+    /// Applies the outcome of an attempt: to its receiver, and to its message, which may be over or wait for
+    /// a retry.
     pub(super) fn on_outcome(&mut self, now: Micros, outcome: &Outcome, actions: &mut Vec<Action>) {
         // A retry-after counts whichever message the call carried, even one that is not held any more.
         self.record_retry_after(now, outcome.receiver, outcome.retry_after());
--- a/src/policy/pace.rs
+++ b/src/policy/pace.rs
@@ -96,8 +96,8 @@
     /// Restrict: returns when the next call may go.
     pub(super) fn ready_at(&self, now: Micros) -> Micros {
         // Not beyond the next update, which may raise the rate.
-        let gap = |c: &RateControl| {
-            Micros::from_secs((1.0 - c.tokens).max(0.0) / c.rate).min(CONTROL_UPDATE_INTERVAL)
+        let gap = |control: &RateControl| {
+            Micros::from_secs((1.0 - control.tokens).max(0.0) / control.rate).min(CONTROL_UPDATE_INTERVAL)
         };
         now.plus(self.control.as_ref().map_or(Micros(0), gap)).max(self.wait_until).max(self.next_call_at)
     }
--- a/src/policy/receiver_gates.rs
+++ b/src/policy/receiver_gates.rs
@@ -76,9 +76,10 @@
     /// window gets as many calls as their shares allow. All messages and trial calls count, to all
     /// unconfirmed receivers.
     ///
-    /// There is a second bound, which applies if it allows more: half of what the senders send that have not
-    /// seen the outage yet. They are e^-x of all senders if each sender makes x calls on average meanwhile. A
-    /// restarted sender doesn't know how long that has been and gets nothing by this bound.
+    /// A second bound applies where it allows more: the senders that saw the outage may send half as much as
+    /// those that have not seen it yet. The latter are e^-x of all senders if each sender makes x calls on
+    /// average meanwhile. A restarted sender doesn't know how long that has been and gets nothing by this
+    /// bound.
     pub(super) fn recovery_budget_gate(
         &self, now: Micros, receiver: &Receiver, destination: &Destination, warm_for: f64,
     ) -> Gate<()> {
--- a/src/policy/tuning.rs
+++ b/src/policy/tuning.rs
@@ -24,7 +24,7 @@
 pub(super) const MAX_RATE_DECREASE: f64 = 0.5;
 /// Largest relative increase of the controlled rate in one update.
 pub(super) const MAX_RATE_INCREASE: f64 = 0.25;
-/// Part of the largest increase that an update below the refusal target applies at least.
+/// An update with no more refusals than the target allows applies at least this part of the largest increase.
 pub(super) const MIN_INCREASE_SHARE: f64 = 0.4;
 pub(super) const CONTROL_UPDATE_INTERVAL: Micros = Micros(500_000);
 /// Calls a second that rate control always leaves to all senders together.
@@ -34,10 +34,10 @@
 pub(super) const REPORTED_LIMIT_FLOOR: f64 = 0.8;
 /// The same for a limit from the endpoint list, which is approximate and may be outdated.
 pub(super) const LISTED_LIMIT_FLOOR: f64 = 0.25;
-/// Spacing of calls to a destination whose answers report its limit, in intervals of the sender's share of
-/// it.
+/// Calls to a destination whose answers report its limit keep apart by this multiple of the interval that the
+/// sender's share of the limit gives.
 pub(super) const SPACING_FACTOR: f64 = 1.2;
-/// How much the spacing factor falls where all of the limit is unused.
+/// Reduction of that multiple where all of the limit is unused, and in proportion where part of it is.
 pub(super) const SPACING_REDUCTION: f64 = 0.7;
 /// Longest spacing: one of many senders calls rarely even without it.
 pub(super) const MAX_SPACING: Micros = Micros(4_000_000);
@@ -51,7 +51,8 @@
 pub(super) const SERVED_RATE_MEMORY_S: f64 = 1.0;
 /// Time constant of the meter of the offered rate.
 pub(super) const OFFERED_RATE_MEMORY_S: f64 = 3.0;
-/// Longest time constant of a rate meter; the time constants grow with the number of senders.
+/// Longest time constant of a rate meter; the time constants grow with the number of senders. Also the
+/// longest burst window of an isolated fleet.
 pub(super) const RATE_MEMORY_MAX_S: f64 = 30.0;
 /// Age that a new rate meter is taken to have at least.
 pub(super) const MIN_METER_AGE_S: f64 = 1.0;
@@ -96,7 +97,8 @@
 pub(super) const UNHEALTHY_RECENT_FAILURES: f64 = 5.0;
 /// Weight of each outcome in the share of calls that fail at all receivers.
 pub(super) const BACKGROUND_FAILURE_WEIGHT: f64 = 0.02;
-/// Refusals in a row, without a delivery between them, that are taken for an outage.
+/// Refusals in a row, without a delivery between them, that are taken for an outage. Each doubling of the
+/// senders beyond `UNSCALED_SENDERS` lowers the number by one, except in an isolated fleet.
 pub(super) const OUTAGE_REFUSALS: f64 = 4.0;
 /// Least time from the first to the last of these refusals.
 pub(super) const OUTAGE_REFUSAL_SPAN: Micros = Micros(1_000_000);
@@ -112,19 +114,20 @@
 pub(super) const TRIAL_DELAY_GROWTH: f64 = 1.5;
 /// A call hangs once it is older than this multiple of the usual latency plus `HUNG_EXTRA`.
 pub(super) const HUNG_LATENCY_FACTOR: f64 = 10.0;
+/// Part of that threshold which does not depend on the latency, and least time since the last delivery.
 pub(super) const HUNG_EXTRA: Micros = Micros(1_000_000);
-/// A receiver is slow above this multiple of its usual latency.
+/// A receiver is slow above this multiple of its usual latency plus a tenth of a second.
 pub(super) const SLOW_LATENCY_FACTOR: f64 = 3.0;
-/// A call in flight for longer than this while a later one was delivered says nothing of the receiver's
-/// health.
+/// A call that is in flight for longer than this, while a later one was delivered, does not count for the
+/// health of the receiver.
 pub(super) const OVERTAKEN_MIN_AGE_S: f64 = 0.5;
 /// Attempts of a message that may be cancelled for free slots: if further ones hang too, the message itself
 /// may be expensive to process.
 pub(super) const MAX_CANCELLABLE_ATTEMPTS: u32 = 2;
 
 // --- Recovery from an outage -----------------------------------------------------------------------------
-/// Share of the collapse load that the senders which saw the outage send together. Below two thirds, they are
-/// not blamed for a collapse.
+/// Share of the load that makes the destination collapse which the senders that saw the outage may send
+/// together. From two thirds on, they are blamed for a collapse.
 pub(super) const RECOVERY_BUDGET_SHARE: f64 = 0.6;
 /// Weight of a further message in a call, which adds a little load.
 pub(super) const EXTRA_MESSAGE_WEIGHT: f64 = 0.25;
@@ -157,7 +160,8 @@
 pub(super) const ANSWER_MARGIN: Micros = Micros(60_000);
 /// Delay before the retry of a refused message, doubled with each attempt.
 pub(super) const RETRY_DELAY_S: f64 = 0.3;
-/// The same for a message that holds up others with its ordering key.
+/// The same for a message that holds up others with its ordering key, or that other receivers may take at
+/// once.
 pub(super) const SHORT_RETRY_DELAY_S: f64 = 0.15;
 /// Upper bound of the first delay, which grows with the number of senders.
 pub(super) const MAX_RETRY_DELAY_S: f64 = 2.0;
--- a/src/state.rs
+++ b/src/state.rs
@@ -69,10 +69,10 @@
     /// A number from 0 (included) to 1 (excluded).
     pub fn next_unit(&mut self) -> f64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut z = self.0;
-        z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-        ((z ^ (z >> 31)) >> 11) as f64 / (1u64 << 53) as f64
+        let mut bits = self.0;
+        bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        ((bits ^ (bits >> 31)) >> 11) as f64 / (1u64 << 53) as f64
     }
 }
 
@@ -103,7 +103,8 @@
 }
 
 /// Tuned values, scaled to the part of the traffic that one of many senders sees: a sender that calls a
-/// destination once in ten seconds never sees three refusals in one second of its own.
+/// destination once in ten seconds never sees three refusals in one second of its own. The fields are
+/// explained with the constants in `src/policy/tuning.rs`.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ScaledTuning {
     pub burst_window: Micros,
@@ -186,7 +187,7 @@
     }
 }
 
-/// From when on a destination is not known to be up and warm, for the budget that then applies to it.
+/// Since when a destination has not been known to be up and warm. The recovery budget uses it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Unconfirmed {
     /// When its first gap between calls begins.
--- a/src/state/queues.rs
+++ b/src/state/queues.rs
@@ -37,9 +37,9 @@
     }
     /// Notes the outcome of one message of a call. Returns whether it was the last one of the call.
     pub fn message_ended(&mut self, call: u64) -> bool {
-        let left = self.without_outcome.get_mut(&call).map_or(0, |c| {
-            *c = c.saturating_sub(1);
-            *c
+        let left = self.without_outcome.get_mut(&call).map_or(0, |count| {
+            *count = count.saturating_sub(1);
+            *count
         });
         if left == 0 {
             self.without_outcome.remove(&call);
