--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,234 +1,241 @@
-//! What a sender tells [`PolicyEngine`](crate::PolicyEngine) and what it is told to do: settings, events, actions.
+//! The interface of the [`PolicyEngine`](crate::PolicyEngine): its settings, the events that the caller
+//! reports to it and the actions that the caller carries out for it.
 //!
-//! All times are microseconds on one clock of the caller's, which never runs backwards; the policy owns no
-//! clock of its own. Ids are the caller's and only compared for equality and order.
+//! All times are microseconds on a single clock of the caller, which must never run backwards; the policy
+//! engine has no clock of its own. The caller assigns all ids; the engine only compares them for equality and
+//! order.
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a time span, in microseconds.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default)]
 pub struct Micros(pub u64);
 
 impl Micros {
-    /// This point in time moved later by a span.
+    /// The point in time that is `span` later than this one.
     #[must_use]
     pub fn plus(self, span: Micros) -> Micros {
         Micros(self.0.saturating_add(span.0))
     }
-    /// The span from `earlier` to this point, zero if `earlier` is not earlier.
+    /// The span from `earlier` to this point in time; zero if `earlier` is not earlier.
     #[must_use]
     pub fn since(self, earlier: Micros) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
     }
-    /// The span in seconds.
+    /// This span in seconds.
     #[must_use]
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
-    /// A span from seconds; negative and undefined values give zero.
+    /// Converts a span from seconds; negative and undefined (NaN) values give zero.
     #[must_use]
     pub fn from_secs(secs: f64) -> Micros {
         Micros((secs * 1e6) as u64)
     }
 }
 
-/// A message, as named by the caller; never used twice.
+/// Id of a message or probe. The caller assigns it and never uses it twice.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct MessageId(pub u64);
-/// One endpoint that takes calls.
+/// Id of a receiver: one endpoint that takes calls.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct ReceiverId(pub u64);
-/// A destination: one or more receivers.
+/// Id of a destination, which has one or more receivers.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
 pub struct DestinationId(pub u64);
-/// Place in [`Settings::classes`].
+/// Index into [`Settings::classes`].
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
 pub struct ClassId(pub usize);
-/// Place in [`Settings::tenants`].
+/// Index into [`Settings::tenants`].
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct TenantId(pub usize);
-/// Place in [`Settings::kinds`].
+/// Index into [`Settings::kinds`].
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
 pub struct KindId(pub usize);
-/// Place in [`Settings::zone_fees`].
+/// Index into [`Settings::zone_fees`].
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
 pub struct ZoneId(pub usize);
 
-/// Which receivers of a destination drop the repeat of a keyed message.
+/// Which receivers of a destination recognise and drop the repeat of a message with an idempotency key.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum DedupScope {
-    /// All of them.
+    /// All receivers of the destination.
     Destination,
-    /// Those in the zone of the receiver that was tried first.
+    /// Only receivers in the zone of the receiver that got the first attempt.
     Zone,
 }
 
-/// What a repeat of a message does.
+/// What happens when a destination runs a message a second time.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum Effect {
-    /// Nothing: safe to repeat.
+    /// A repeat has no further effect: the message is safe to repeat.
     Safe,
-    /// Dropped by the `group` for `window` from the send of the first attempt that may have run.
+    /// The receivers in `scope` drop a repeat by its idempotency key for `window`, counted from the send of
+    /// the first attempt that may have run.
     Keyed {
-        /// Who drops the repeat.
+        /// The receivers that drop the repeat.
         scope: DedupScope,
-        /// For how long.
+        /// How long they drop it.
         window: Micros,
     },
-    /// It takes effect again: must never happen.
+    /// A repeat takes effect again: the message must never run twice.
     #[default]
     Unsafe,
 }
 
-/// How worth falls after the aim.
+/// How the value of a message falls once its target latency has passed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum ValueDecay {
     #[default]
-    /// Evenly, down to the late share at the deadline.
+    /// Linearly, down to the late value share at the deadline.
     Linear,
-    /// By half with each further aim, not below the late share.
+    /// By half with each further target latency, but not below the late value share.
     Halving,
 }
 
-/// A class of messages.
+/// Settings of one class of messages.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClassSettings {
-    /// Full worth when delivered within this span.
+    /// A message that is delivered within this span has its full value.
     pub target_latency: Micros,
-    /// The span after which a message is given up.
+    /// Span from submission to deadline: a message that is not delivered by then is given up.
     pub give_up_after: Micros,
-    /// What a repeat does.
+    /// What happens when a message runs a second time.
     pub effect: Effect,
-    /// Messages with one key go one at a time, in order of arrival.
+    /// Messages with the same ordering key are sent one at a time, in order of arrival.
     pub in_order: bool,
-    /// Worth of one message.
+    /// Value of one message, relative to messages of other classes.
     pub value: f64,
-    /// Share of the worth left at the deadline.
+    /// Share of the value that is left at the deadline.
     pub late_value_share: f64,
 }
 
-/// A tenant.
+/// Settings of one tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantSettings {
-    /// Messages a second within its share, from all senders together; zero if unbounded.
+    /// Messages per second within its share, summed over all senders; zero means unlimited.
     pub allowance_per_s: f64,
 }
 
-/// A kind of destination.
+/// Settings of one kind of destination.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KindSettings {
-    /// Its receivers are separate routes, each with a limit and outages of its own.
+    /// The receivers of a destination are separate routes, each with its own limit and its own outages.
     pub separate_routes: bool,
     /// Messages that one call may carry.
     pub messages_per_call: u32,
 }
 
-/// What the weights in the list mean.
+/// What the weights in the endpoint list mean.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum Weights {
-    /// Nothing.
+    /// Weights have no meaning.
     #[default]
     Off,
-    /// Calls a second that the destination (the route, where apart) takes from all senders together.
+    /// Capacity of the destination (of the route, where routes are separate): calls per second from all
+    /// senders together.
     Nominal,
-    /// The same, up to half too high or too low.
+    /// The same capacity, but up to half too high or too low.
     Rough,
 }
 
-/// Facts stated once, at the start.
+/// Settings that the caller states once, at the start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// Classes of messages.
+    /// Message classes.
     pub classes: Vec<ClassSettings>,
     /// Tenants; may be empty.
     pub tenants: Vec<TenantSettings>,
-    /// Kinds of destinations.
+    /// Kinds of destination.
     pub kinds: Vec<KindSettings>,
-    /// For each zone, what a message taken on by a separate route there costs.
+    /// The cost, per zone, of a message that a separate route in that zone accepts.
     pub zone_fees: Vec<f64>,
-    /// How worth falls after the aim.
+    /// How the value of a message falls once its target latency has passed.
     pub value_decay: ValueDecay,
-    /// Worth of a message beyond its tenant's share, as a fraction.
+    /// The fraction of its value that a message beyond its tenant's share has.
     pub over_share_value: f64,
-    /// Calls that may be out at once.
+    /// Maximum number of calls in flight.
     pub slots: u32,
-    /// Messages that may be held.
+    /// Maximum number of messages that the engine holds.
     pub max_held: u32,
-    /// Attempts allowed for one message.
+    /// Maximum number of attempts for one message.
     pub max_attempts: u32,
-    /// A message that is safe to repeat may have two attempts out at once.
+    /// A message that is safe to repeat may have two attempts in flight at once.
     pub second_copies: bool,
-    /// An attempt may be called off.
+    /// An attempt in flight may be cancelled.
     pub allow_cancel: bool,
-    /// Answers may report a limit and what is left of it; what comes without that word is not believed.
+    /// Responses may report a limit and the share of it that remains. If false, such reports are ignored.
     pub load_reports: bool,
-    /// Senders that share the traffic, this one included.
+    /// Number of senders that share the traffic, including this one.
     pub sender_count: u32,
-    /// Which of them this one is, from zero.
+    /// Index of this sender among them, from zero.
     pub sender_index: u32,
-    /// A refusal's retry-after reaches the client.
+    /// A refusal can pass a retry-after on to the client.
     pub send_retry_after: bool,
-    /// The longest wait that a client heeds.
+    /// The longest retry-after that a client honours.
     pub max_retry_after: Micros,
-    /// The list must be subscribed to.
+    /// The endpoint list must be requested by subscription.
     pub subscribe_to_list: bool,
-    /// What weights mean.
+    /// What the weights in the endpoint list mean.
     pub weights: Weights,
-    /// How long a key rests after an attempt with an unsure end.
+    /// How long an ordering key is held back after an attempt whose effect is unknown.
     pub key_cooldown: Micros,
-    /// A destination back from an outage falls over when sent more than this multiple of its capacity...
+    /// A destination that is back from an outage collapses again if it gets more than this multiple of its
+    /// capacity for the length of [`Settings::collapse_window`].
     pub collapse_multiple: f64,
-    /// ... for this long.
+    /// How long a load above [`Settings::collapse_multiple`] lasts before the destination collapses.
     pub collapse_window: Micros,
-    /// Share of its capacity that it has at first.
+    /// The share of its capacity that a destination has when it comes back from an outage.
     pub cold_start_share: f64,
-    /// It has all of it after this.
+    /// How long a destination takes from its return to its full capacity.
     pub warm_up_time: Micros,
-    /// How long a connection stays open without a call; zero if that is not known.
+    /// How long a connection stays open without a call; zero if unknown.
     pub connection_idle_timeout: Micros,
-    /// Short notes to the other senders are allowed.
+    /// Short hints may be sent to the other senders.
     pub peer_hints: bool,
-    /// The class of probes, if one sender probes for all; see [`Settings::hold_back`].
+    /// The class of probes, if one sender probes for all; see [`Settings::message_probe_delay`].
     pub probe_class: Option<ClassId>,
-    /// So much later than a probe would, other messages try what is out of order: by then no sender may be probing it.
+    /// How much later than a probe an ordinary message may try an unhealthy receiver. If a receiver is still
+    /// unhealthy after this delay, there may be no sender that probes it.
     pub message_probe_delay: Micros,
-    /// Without a subscription the list must be asked for at least this often.
+    /// Without a subscription the list must be requested at least this often.
     pub list_poll_interval: Micros,
 }
 
-/// Up to so many senders ask for the list as they like.
-const FEW: u32 = 8;
+/// Up to this many senders may make optional list calls: discovery bears the sum of them.
+const SMALL_FLEET_MAX_SENDERS: u32 = 8;
 
 impl Settings {
-    /// So many senders share what gives out the list that what each asks unasked adds up.
+    /// Whether so many senders share discovery that their optional list calls would add up to a load.
     #[must_use]
     pub fn large_fleet(&self) -> bool {
-        self.sender_count > FEW
+        self.sender_count > SMALL_FLEET_MAX_SENDERS
     }
 
-    /// Where all senders ask for the list at one moment, each may make so many calls, and a change is known in time.
+    /// Whether every sender still learns of a list change in time if all of them start `calls_each` list
+    /// calls at the same moment.
     #[must_use]
     pub fn list_calls_fit(&self, calls_each: u32) -> bool {
         crate::list_refresh::calls_fit(self.sender_count, calls_each)
     }
 }
 
-/// State of a receiver in the list. Says nothing of its health.
+/// State of a receiver in the endpoint list. It is independent of the health of the receiver.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum EntryState {
-    /// May be used.
+    /// The receiver may be used.
     #[default]
     Ready,
-    /// Takes nothing new.
+    /// The receiver gets no new calls.
     Draining,
-    /// Removed.
+    /// The receiver was removed from the list.
     Gone,
 }
 
-/// One line of the list of receivers.
+/// One entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct ListEntry {
     /// The receiver.
     pub receiver: ReceiverId,
-    /// Its state.
+    /// Its state in the list.
     pub state: EntryState,
     /// Its destination.
     pub destination: DestinationId,
@@ -236,210 +243,220 @@
     pub kind: KindId,
     /// Its zone.
     pub zone: ZoneId,
-    /// See [`Weights`].
+    /// Its weight, to be read as [`Weights`] says.
     pub weight: f64,
 }
 
-/// A message handed in. From here on the policy owes it one final answer.
+/// A submitted message. The engine ends each with exactly one final status.
 #[derive(Clone, Debug)]
 pub struct Message {
     /// Its id.
     pub id: MessageId,
     /// Its class.
     pub class: ClassId,
-    /// Whose it is.
+    /// Its tenant, if any.
     pub tenant: Option<TenantId>,
-    /// Key of its order.
+    /// Its ordering key; see [`ClassSettings::in_order`].
     pub ordering_key: Option<String>,
-    /// Where it goes.
+    /// The destination that it must be delivered to.
     pub destination: DestinationId,
-    /// How long it may still be delivered.
+    /// Time from now to its deadline.
     pub time_left: Micros,
 }
 
-/// What an earlier process did with a message. An attempt that was out at its death may have run.
+/// The attempts that an earlier process made for a message. An attempt that was in flight when that process
+/// died may have run.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct AttemptHistory {
-    /// Attempts made; they count.
+    /// Number of attempts made; they count towards [`Settings::max_attempts`].
     pub attempts: u32,
-    /// When and where the first attempt went that may have run.
+    /// Send time and zone of the first attempt that may have run.
     pub first_possible_run: Option<(Micros, ZoneId)>,
 }
 
-/// What a destination, or a route apart, was like when it went to rest, or what that is still worth when it wakes.
+/// State of a destination or receiver that is kept while the destination is inactive, to restart it
+/// carefully.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
 pub struct RetainedHealth {
-    /// Calls a second that it served this sender; zero if nothing is known.
+    /// Calls per second that it served this sender; zero if unknown.
     pub served_per_s: f64,
-    /// Nothing may go there before.
+    /// No call may be sent to it before this time.
     pub wait_until: Micros,
-    /// It was out of order, and nothing has been heard of it since.
+    /// It was unhealthy when last used, and there is no later result.
     pub unhealthy: bool,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Verdict {
-    /// Delivered; the client has been told.
+    /// Delivered; the client has been notified.
     Delivered,
-    /// The destination answered with an error; may have run.
+    /// The receiver responded with an error; the message may have run.
     Error,
-    /// Turned away unseen, with a wait if one was told; never ran.
+    /// The receiver refused the call without processing it, optionally with a retry-after; the message never
+    /// ran.
     Full(Option<Micros>),
-    /// No answer in time; may have run or still run.
+    /// There was no response in time; the message may have run or may still be running.
     TimedOut,
-    /// No connection: the receiver is down or unreachable; never ran.
+    /// No connection could be made: the receiver is down or unreachable; the message never ran.
     ConnectFailed,
-    /// The receiver runs and has no room for another connection; never ran.
+    /// The receiver is up but accepts no further connection; the message never ran.
     ConnectionLimit,
-    /// The connection broke; may have run.
+    /// The connection broke during the call; the message may have run.
     Reset,
-    /// The connection had been kept from an earlier call and broke at once; may have run. It says nothing of the
-    /// receiver: what stands between may have forgotten the connection.
+    /// A reused idle connection broke at once; the message may have run. This says nothing about the
+    /// receiver, since a device on the network path may have dropped the connection.
     Stale,
-    /// Called off; may have run.
+    /// The sender cancelled the attempt; the message may have run.
     Cancelled,
-    /// Not sent; never ran.
+    /// The attempt was not sent; the message never ran.
     Moot,
-    /// Held back as its first byte was about to leave, or closed before its last one had: it never ran, and it is none
-    /// of the attempts that its message may have.
+    /// The attempt was stopped right before its first byte was sent, or its connection was closed before its
+    /// last byte was. The message never ran, and the attempt does not count towards
+    /// [`Settings::max_attempts`].
     HeldBack,
 }
 
-/// Whether a call may leave that was decided on before: it may have waited for its connection meanwhile.
+/// Whether an attempt that was decided earlier may still be sent: it may have waited for a connection
+/// meanwhile.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum SendRecheck {
-    /// It may.
+    /// The attempt may be sent.
     Allowed,
-    /// Its message has ended.
+    /// The message has already ended.
     MessageEnded,
-    /// A wait that its receiver or destination told still runs.
+    /// A retry-after of the receiver or destination has not passed yet.
     WithinRetryAfter,
-    /// No rule lets it go any more.
+    /// The time in which the rules allow this attempt has passed.
     NoLongerAllowed,
 }
 
-/// The end of one attempt.
+/// The result of one attempt.
 #[derive(Clone, Debug)]
 pub struct Outcome {
     /// The message.
     pub id: MessageId,
-    /// Which attempt, from zero.
+    /// Index of the attempt within the message, from zero.
     pub attempt: u32,
-    /// Where it was sent.
+    /// The receiver that it was sent to.
     pub receiver: ReceiverId,
-    /// How it ended.
+    /// How the attempt ended.
     pub verdict: Verdict,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub elapsed: Micros,
-    /// The message is finished; no answer is owed any more.
+    /// The message has ended; the engine owes it no final status any more.
     pub finished: bool,
-    /// The destination's limit in calls a second, if it reported one.
+    /// The limit of the destination in calls per second, if the response reported one.
     pub limit_per_s: Option<f64>,
-    /// The share of that limit which is left just now, 0 to 1, if it reported one.
+    /// The share of that limit, 0 to 1, that currently remains, if the response reported one.
     pub remaining_share: Option<f64>,
 }
 
-/// The limit and the share that is left of it, from what an answer held. Half of a report is none, and so is one that
-/// cannot be: it must never change what the answer itself says.
+/// The limit in calls per second and the remaining share of it, as reported by a response. An incomplete
+/// report or one with impossible values counts as none: it must never change what the response itself says.
 #[must_use]
-pub fn load_report(limit: Option<f64>, left: Option<f64>) -> (Option<f64>, Option<f64>) {
-    match (limit, left) {
-        (Some(l), Some(x)) if (0.0..=1e9).contains(&l) && (0.0..=1.0).contains(&x) => (limit, left),
+pub fn load_report(limit_per_s: Option<f64>, remaining_share: Option<f64>) -> (Option<f64>, Option<f64>) {
+    match (limit_per_s, remaining_share) {
+        (Some(limit), Some(share)) if (0.0..=1e9).contains(&limit) && (0.0..=1.0).contains(&share) => {
+            (limit_per_s, remaining_share)
+        }
         _ => (None, None),
     }
 }
 
 impl Outcome {
-    /// The share that is left of a limit, where the answer told both.
+    /// The remaining share of the limit, if the response reported both.
     #[must_use]
     pub fn remaining_share(&self) -> Option<f64> {
-        self.limit_per_s.filter(|l| *l > 0.0).and(self.remaining_share)
+        self.limit_per_s.filter(|limit| *limit > 0.0).and(self.remaining_share)
     }
-    /// The wait that a refusal told; zero if it told none.
+    /// The retry-after of a refusal; zero if it has none.
     #[must_use]
     pub fn retry_after(&self) -> Micros {
         if let Verdict::Full(Some(wait)) = self.verdict { wait } else { Micros(0) }
     }
 }
 
-/// Something that happened.
+/// Something that happened and that the caller reports to the engine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The list as last held before a restart; possibly stale.
+    /// The list as the caller stored it before a restart; possibly stale.
     PersistedList(Vec<ListEntry>),
-    /// Entries of a list that the caller has had for a while: no word from whoever gives the list out.
+    /// Entries that the caller had already cached; discovery was not contacted for them.
     CachedEntries(Vec<ListEntry>),
-    /// The whole list; what is not in it is gone.
+    /// The complete list; a receiver that is not in it is gone.
     FullList(Vec<ListEntry>),
-    /// Changed lines only.
+    /// Only the entries that changed.
     ListChanges(Vec<ListEntry>),
-    /// The subscription broke, or a call for the list took its time and failed.
+    /// The subscription broke, or a list call failed after a while.
     ListFailed,
-    /// A call for the list failed at once: it waited in no queue, and no other call need have failed with it.
+    /// A list call failed at once. It did not wait in a queue, so the calls of other senders need not have
+    /// failed too.
     ListRefused,
-    /// The list comes from elsewhere now, and is being asked for there.
+    /// The list comes from another source now, and the caller has already requested it there.
     ListSourceChanged,
-    /// A message was handed in.
+    /// A client submitted a message.
     Submit(Message),
-    /// A message that an earlier process of this sender took on and still owes its end.
+    /// A message that an earlier process of this sender accepted and did not end.
     Resume(Message, AttemptHistory),
-    /// An attempt ended. Exactly one for each send.
+    /// An attempt ended. The caller reports exactly one outcome for each [`Action::Send`].
     Outcome(Outcome),
-    /// A receiver told a wait, whatever becomes of the call that it told it to.
+    /// A receiver sent a retry-after; the outcome of the call that got it is reported separately.
     RetryAfter(ReceiverId, Micros),
-    /// Bytes that another sender was asked to [`Action::Tell`]; anything else is ignored.
+    /// The bytes of an [`Action::SendPeerHint`] of another sender; any other bytes are ignored.
     PeerHint(Vec<u8>),
-    /// Nobody wants the message any more; attempts in flight run on.
+    /// The client withdrew the message; attempts in flight are not cancelled.
     Withdrawn(MessageId),
-    /// A wake-up that was asked for has come.
+    /// A timer that [`Action::SetTimer`] set has fired.
     TimerFired,
 }
 
-/// Something to do.
+/// Something that the caller must do.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Action {
-    /// Call the receiver with the message, giving up waiting after `patience`. Sends of one
-    /// [`decide`](crate::PolicyEngine::decide) to one receiver share calls as far as its kind allows.
+    /// Call the receiver with the message and wait for the response until `timeout`. Sends to the same
+    /// receiver from one [`decide`](crate::PolicyEngine::decide) share calls up to
+    /// [`KindSettings::messages_per_call`].
     Send {
         /// The message.
         id: MessageId,
-        /// Where to.
+        /// The receiver to call.
         receiver: ReceiverId,
-        /// How long to wait for the answer.
+        /// How long to wait for the response.
         timeout: Micros,
     },
-    /// Wait no longer for an attempt that is out: its message has ended by another. Its outcome is still owed.
+    /// Stop waiting for an attempt in flight: its message has ended by another attempt, or the attempt is
+    /// overdue and its slot is needed. The caller must still report its outcome.
     CancelAttempt {
         /// The message.
         id: MessageId,
-        /// Which attempt, from zero.
+        /// Index of the attempt within the message, from zero.
         attempt: u32,
     },
-    /// Final answer: not delivered, harmless to try again, best after the wait.
+    /// Final status: not delivered. The client may safely submit the message again, best after `retry_after`.
     Refuse {
         /// The message.
         id: MessageId,
-        /// When to come back, if worth telling.
+        /// How long the client should wait, if it is told.
         retry_after: Option<Micros>,
     },
-    /// Final answer: failed, nothing promised.
+    /// Final status: failed. The message may or may not have run.
     Fail(MessageId),
-    /// Send these bytes to all other senders, who take them as [`Event::Note`]. They may be lost.
+    /// Send these bytes to all other senders, which handle them as [`Event::PeerHint`]. They may be lost.
     SendPeerHint(Vec<u8>),
-    /// Close the idle connections to a receiver; calls out are not touched.
+    /// Close the idle connections to a receiver; calls in flight are not affected.
     CloseIdleConnections(ReceiverId),
-    /// Subscribe to changes of the list.
+    /// Request the endpoint list and subscribe to its changes.
     RequestList,
-    /// Hand in [`Event::Wake`] after this span.
+    /// Report [`Event::TimerFired`] after this span.
     SetTimer(Micros),
-    /// For the operators' log: the receiver is taken for out of order from now on.
+    /// Log for the operators that the receiver counts as unhealthy from now on.
     LogUnhealthy {
-        /// Which.
+        /// The receiver.
         receiver: ReceiverId,
         /// Its destination.
         destination: DestinationId,
-        /// How the call ended that showed it.
+        /// How the call ended that made it unhealthy.
         verdict: Verdict,
     },
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,27 +1,30 @@
-//! The decisions of a sender that delivers notifications to outside receivers: what to send where and
-//! when, what to retry, what to refuse, and how to treat a destination that fails, slows down or returns.
+//! A policy engine for a sender that delivers notifications to external receivers. It decides what to send
+//! where and when, what to retry, what to refuse, and how to treat a destination that fails, slows down or
+//! recovers.
 //!
-//! The library does no I/O and owns no clock, thread or global. The sender hands [`Event`]s to a [`PolicyEngine`],
-//! calls [`PolicyEngine::decide`] once all events of a moment are in, and carries out the [`Action`]s in order.
+//! The library does no I/O and has no clock, threads or global state. The sender passes [`Event`]s to a
+//! [`PolicyEngine`], calls [`PolicyEngine::decide`] after all events of the same moment, and carries out the
+//! returned [`Action`]s in order.
 //!
-//! The caller promises that
+//! The caller guarantees that
 //! - its clock never runs backwards, and all times are microseconds on that one clock;
-//! - each [`Action::Send`] gets exactly one [`Event::Outcome`], at the latest when its patience is over;
-//! - a delivered message needs no further answer, and ids of messages are never used twice;
-//! - each [`Action::WakeAfter`] is answered by an [`Event::Wake`] once the span has passed.
+//! - each [`Action::Send`] gets exactly one [`Event::Outcome`], at the latest when its timeout has passed;
+//! - a delivered message needs no further final status, and message ids are never used twice;
+//! - each [`Action::SetTimer`] is followed by an [`Event::TimerFired`] once the span has passed.
 //!
-//! In return each [`Event::Submit`] gets one final answer before its time is up: the delivery,
-//! [`Action::Refuse`] or [`Action::Fail`]. One policy serves one sender process; brains share nothing.
+//! In return, each message of an [`Event::Submit`] gets exactly one final status before its deadline: its
+//! delivery, [`Action::Refuse`] or [`Action::Fail`]. One engine serves one sender process; engines share no
+//! state.
 //!
 //! ```
 //! use onyxrock::{PolicyEngine, interface::*};
 //!
 //! let settings = Settings {
 //!     classes: vec![ClassSettings {
-//!         aim: Micros(1_000_000),
-//!         give_up: Micros(20_000_000),
+//!         target_latency: Micros(1_000_000),
+//!         give_up_after: Micros(20_000_000),
 //!         effect: Effect::Safe,
-//!         worth: 1.0,
+//!         value: 1.0,
 //!         ..ClassSettings::default()
 //!     }],
 //!     slots: 8,
@@ -32,10 +35,10 @@
 //! let mut policy = PolicyEngine::new(settings, 42);
 //! let mut actions = Vec::new();
 //!
-//! // The list names one receiver; a message for its destination is taken.
-//! let entry = Entry {
+//! // The list has one receiver; a message for its destination is accepted.
+//! let entry = ListEntry {
 //!     receiver: ReceiverId(7),
-//!     listing: Listing::Ready,
+//!     state: EntryState::Ready,
 //!     destination: DestinationId(1),
 //!     kind: KindId(0),
 //!     zone: ZoneId(0),
@@ -47,17 +50,17 @@
 //!     id: MessageId(1),
 //!     class: ClassId(0),
 //!     tenant: None,
-//!     key: None,
+//!     ordering_key: None,
 //!     destination: DestinationId(1),
-//!     left: Micros(20_000_000),
+//!     time_left: Micros(20_000_000),
 //! }), &mut actions);
 //! policy.decide(now, &mut actions);
 //! assert!(matches!(actions[0], Action::Send { receiver: ReceiverId(7), .. }));
 //!
-//! // The call is refused: a timer is asked for, and when it comes the message goes again.
+//! // The call is refused: the engine requests a timer, and when that fires it sends the message again.
 //! actions.clear();
 //! let elapsed = Micros(40_000);
-//! let now = now.after(elapsed);
+//! let now = now.plus(elapsed);
 //! policy.on_event(now, Event::Outcome(Outcome {
 //!     id: MessageId(1),
 //!     attempt: 0,
@@ -65,14 +68,14 @@
 //!     verdict: Verdict::Full(None),
 //!     elapsed,
 //!     finished: false,
-//!     limit: None,
-//!     left: None,
+//!     limit_per_s: None,
+//!     remaining_share: None,
 //! }), &mut actions);
 //! policy.decide(now, &mut actions);
-//! let Action::WakeAfter(span) = actions[0] else { panic!("a timer is asked for") };
+//! let Action::SetTimer(span) = actions[0] else { panic!("no timer was requested") };
 //! actions.clear();
-//! let now = now.after(span);
-//! policy.on_event(now, Event::Wake, &mut actions);
+//! let now = now.plus(span);
+//! policy.on_event(now, Event::TimerFired, &mut actions);
 //! policy.decide(now, &mut actions);
 //! assert!(matches!(actions[0], Action::Send { id: MessageId(1), .. }));
 //! ```
