--- a/src/core/classes.rs
+++ b/src/core/classes.rs
@@ -1,101 +1,106 @@
-//! Classes of messages by name, which may change while an instance runs. A message keeps the class that it was taken on
-//! under: a class that changes is another one from then on, and one that is dropped stays for the messages that have it.
+//! Message classes by name. They may change while the process runs. A message keeps the class under which it
+//! was accepted: a class with changed settings is a new version from then on, and a removed class stays for
+//! the messages that have it.
 
 use super::record::{AcceptedMessage, RecordedClass};
 use crate::interface::{ClassId, ClassSettings, DestinationId, Effect, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// All classes that any message may have, and which of them a name stands for now.
+/// All classes that any message may have, and which of them each name currently stands for.
 #[derive(Debug)]
 pub(super) struct Classes {
-    /// Numbers of those that a hand-in may name.
+    /// Indices of the classes that a submission may name.
     names: BTreeMap<String, usize>,
-    /// By number.
+    /// All classes by index.
     all: Vec<ClassSettings>,
-    /// The numbers that a name has had.
+    /// The indices that each name has stood for.
     versions: BTreeMap<String, Vec<usize>>,
-    /// Destinations that drop no repeats, and what a keyed class is there.
-    plain: BTreeSet<DestinationId>,
-    stricter: BTreeMap<usize, usize>,
+    /// Destinations that do not drop repeats.
+    without_dedup: BTreeSet<DestinationId>,
+    /// For each keyed class, the index of the class that replaces it at a destination in `without_dedup`.
+    unsafe_variants: BTreeMap<usize, usize>,
 }
 
 impl Classes {
-    /// Those of a start. `all` may hold more than are named.
+    /// The classes at the start of a process. `all` may hold more classes than have names.
     pub fn new(
-        all: Vec<ClassSettings>, names: BTreeMap<String, usize>, plain: BTreeSet<DestinationId>,
+        all: Vec<ClassSettings>, names: BTreeMap<String, usize>, without_dedup: BTreeSet<DestinationId>,
     ) -> Classes {
-        let versions = names.iter().map(|(name, number)| (name.clone(), vec![*number])).collect();
-        let mut classes = Classes { names, all, versions, plain, stricter: BTreeMap::new() };
-        (0..classes.all.len()).for_each(|number| classes.add_stricter(number));
+        let versions = names.iter().map(|(name, index)| (name.clone(), vec![*index])).collect();
+        let mut classes = Classes { names, all, versions, without_dedup, unsafe_variants: BTreeMap::new() };
+        (0..classes.all.len()).for_each(|index| classes.add_unsafe_variant(index));
         classes
     }
 
-    /// From now on just these names stand for classes.
+    /// Replaces the names: from now on only these stand for classes.
     pub fn replace(&mut self, settings: &[ClassSettings], names: &BTreeMap<String, usize>) {
-        let known = names.iter().filter_map(|(name, i)| Some((name, settings.get(*i)?)));
+        let known = names.iter().filter_map(|(name, index)| Some((name, settings.get(*index)?)));
         self.names = known.map(|(name, class)| (name.clone(), self.version(name, class))).collect();
     }
 
-    /// The number of a class of this name with these settings, which it may have had before.
+    /// The index of the class with this name and these settings. It is added unless an earlier version has
+    /// the same settings.
     fn version(&mut self, name: &str, class: &ClassSettings) -> usize {
         let versions = self.versions.entry(name.to_owned()).or_default();
-        if let Some(number) = versions.iter().find(|number| self.all[**number] == *class) {
-            return *number;
+        if let Some(index) = versions.iter().find(|index| self.all[**index] == *class) {
+            return *index;
         }
-        let number = self.all.len();
-        versions.push(number);
+        let index = self.all.len();
+        versions.push(index);
         self.all.push(class.clone());
-        self.add_stricter(number);
-        number
+        self.add_unsafe_variant(index);
+        index
     }
 
-    /// Where repeats are not dropped, a keyed message is as one that must not be repeated.
-    fn add_stricter(&mut self, number: usize) {
-        let class = &self.all[number];
-        if self.plain.is_empty() || !matches!(class.effect, Effect::Keyed { .. }) {
+    /// Adds the variant of a keyed class for destinations that do not drop repeats: there its messages must
+    /// not be repeated.
+    fn add_unsafe_variant(&mut self, index: usize) {
+        let class = &self.all[index];
+        if self.without_dedup.is_empty() || !matches!(class.effect, Effect::Keyed { .. }) {
             return;
         }
-        self.stricter.insert(number, self.all.len());
+        self.unsafe_variants.insert(index, self.all.len());
         self.all.push(ClassSettings { effect: Effect::Unsafe, ..class.clone() });
     }
 
-    /// All of them, as the module has them by number.
+    /// All classes, in the order of the policy engine's class ids.
     pub fn all(&self) -> &[ClassSettings] {
         &self.all
     }
 
-    /// A hand-in may name this class.
+    /// Whether a submission may name this class.
     pub fn is_named(&self, name: &str) -> bool {
         self.names.contains_key(name)
     }
 
-    /// The class by this name, as it is now.
-    pub fn now(&self, name: &str) -> Option<RecordedClass> {
-        self.names.get(name).map(|number| RecordedClass::from(&self.all[*number]))
+    /// The class that this name currently stands for.
+    pub fn current(&self, name: &str) -> Option<RecordedClass> {
+        self.names.get(name).map(|index| RecordedClass::from(&self.all[*index]))
     }
 
-    /// That of a message: as it was when that was taken on, or what its name stands for now where the log does not say.
-    pub fn of(&mut self, taken: &AcceptedMessage) -> Option<ClassId> {
-        let number = match taken.recorded_class {
-            Some(then) => self.version(&taken.class, &ClassSettings::from(then)),
-            None => *self.names.get(&taken.class)?,
+    /// The class of a message: the class under which it was accepted or, where its record does not say, the
+    /// class that its name currently stands for.
+    pub fn resolve(&mut self, accepted: &AcceptedMessage) -> Option<ClassId> {
+        let index = match accepted.recorded_class {
+            Some(recorded) => self.version(&accepted.class, &ClassSettings::from(recorded)),
+            None => *self.names.get(&accepted.class)?,
         };
-        let is_plain = self.plain.contains(&DestinationId(taken.destination));
-        let stricter = self.stricter.get(&number).filter(|_| is_plain);
-        Some(ClassId(stricter.copied().unwrap_or(number)))
+        let lacks_dedup = self.without_dedup.contains(&DestinationId(accepted.destination));
+        let unsafe_variant = self.unsafe_variants.get(&index).filter(|_| lacks_dedup);
+        Some(ClassId(unsafe_variant.copied().unwrap_or(index)))
     }
 
-    /// The time that a message of this name has, if it is taken on now.
-    pub fn give_up(&self, name: &str) -> Option<Micros> {
-        self.names.get(name).map(|number| self.all[*number].give_up_after)
+    /// The span from submission to deadline of a message of this class that is accepted now.
+    pub fn give_up_after(&self, name: &str) -> Option<Micros> {
+        self.names.get(name).map(|index| self.all[*index].give_up_after)
     }
 
-    /// The longest time that any message may have.
-    pub fn longest(&self) -> Micros {
+    /// The longest span from submission to deadline of all classes.
+    pub fn max_give_up_after(&self) -> Micros {
         self.all.iter().map(|class| class.give_up_after).max().unwrap_or_default()
     }
 
-    /// What a repeat does; the strictest, where nothing says it.
+    /// The effect of a class; for an unknown class the strictest.
     pub fn effect(&self, class: Option<ClassId>) -> Effect {
         class.and_then(|class| self.all.get(class.0)).map_or(Effect::Unsafe, |class| class.effect)
     }
--- a/src/core/ledger.rs
+++ b/src/core/ledger.rs
@@ -1,507 +1,544 @@
-//! The ledger: requests that are outstanding, and the policy engine that decides on them.
+//! The ledger: all open messages, and the policy engine that decides about them.
 
+use super::actions::{AttemptDenied, AttemptOutcome, LedgerAction, RecoveryStats};
 use super::classes::Classes;
 use super::record::{AcceptedMessage, AttemptStatus, FinalStatus, Record, RecordedClass};
 use super::recovery::OpenMessage;
-use super::step::{AttemptDenied, AttemptOutcome, LedgerAction, RecoveryStats};
 use super::{Ids, NameIndex};
 use crate::PolicyEngine;
 use crate::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Adds the class of probes to the settings, which no client can name. One is worth more than any message: nothing is
-/// lost with it, so it is the better trial of what may be out of order. A probe that has not gone after `left` ends. Where
-/// one sender probes for all, messages hold back for a while from what it is trying.
-pub fn add_probe_class(settings: &mut Settings, left: Micros, hold_back: Micros) -> ClassId {
+/// Adds the class of probes to the settings; no client can name it. A probe has a higher value than any
+/// message: a failed probe loses nothing, so it is the better test of a receiver that may be unhealthy. A
+/// probe that was not sent within `time_left` ends. Where one sender probes for all, ordinary messages wait
+/// for `message_probe_delay` before they try a receiver that it may be probing.
+pub fn add_probe_class(settings: &mut Settings, time_left: Micros, message_probe_delay: Micros) -> ClassId {
     let class = ClassId(settings.classes.len());
     settings.classes.push(ClassSettings {
-        target_latency: left,
-        give_up_after: left,
+        target_latency: time_left,
+        give_up_after: time_left,
         effect: Effect::Safe,
         value: 1e6,
         ..ClassSettings::default()
     });
-    (settings.probe_class, settings.message_probe_delay) = (Some(class), hold_back);
+    (settings.probe_class, settings.message_probe_delay) = (Some(class), message_probe_delay);
     class
 }
 
-/// What ends so shortly before its deadline has used its time.
-const TIME_UP: Micros = Micros(100_000);
-/// An attempt may run on for so long after its request is over.
-const ID_REST: Micros = Micros(2_000_000);
+/// A message that ends less than this before its deadline counts as expired.
+const EXPIRY_MARGIN: Micros = Micros(100_000);
+/// How long an attempt may still run at an endpoint after its message has ended.
+const RUN_AFTER_END: Micros = Micros(2_000_000);
 
-/// All requests between being taken on and being over. One clock serves it: wall-clock microseconds that never
-/// run backwards while it lives.
+/// All messages from acceptance until nothing more has to be done for them. All its times come from one
+/// clock: wall-clock microseconds that never run backwards during the lifetime of the ledger.
 #[derive(Debug)]
 pub struct Ledger {
     policy: PolicyEngine,
     names: NameIndex,
     classes: Classes,
-    /// The class that each request was taken on under.
+    /// The class under which each message was accepted.
     class_of: BTreeMap<u64, ClassId>,
-    owed: BTreeMap<u64, OpenMessage>,
-    /// Attempts that each request had, as the module counts them.
+    open: BTreeMap<u64, OpenMessage>,
+    /// Attempts made for each message, as the policy engine counts them.
     attempts: BTreeMap<u64, u32>,
-    next: u64,
-    most: usize,
-    /// Attempts of one request that may be out at once.
-    most_out: usize,
-    cancel: bool,
-    /// Ids of hand-ins.
-    ids: Ids,
-    given: usize,
-    /// Messages of an earlier process that have had no call yet, and what became of all of them.
+    next_number: u64,
+    max_held: usize,
+    /// Maximum number of attempts in flight for one message.
+    max_in_flight: usize,
+    allow_cancel: bool,
+    /// Request ids of recent submissions.
+    request_ids: Ids,
+    /// Number of open messages that have a final status.
+    with_final_status: usize,
+    /// Messages of an earlier process that have had no attempt yet.
     untried: BTreeSet<u64>,
-    found: RecoveryStats,
-    wakes: BTreeSet<Micros>,
+    recovery_stats: RecoveryStats,
+    /// Times of the timers that the policy engine requested.
+    timers: BTreeSet<Micros>,
+    /// Delivered messages whose client is to be sent a receipt.
     receipts: Vec<u64>,
-    /// Probes that the module has: the destination.
+    /// Probes that the policy engine holds, with their destinations.
     probes: BTreeMap<u64, DestinationId>,
     actions: Vec<Action>,
 }
 
 impl Ledger {
-    /// A ledger with nothing in it.
+    /// An empty ledger.
     ///
-    /// The `plain` destinations drop no repeat of a keyed message: there it is treated as an unsafe one.
+    /// `without_dedup` are the destinations that do not drop the repeat of a keyed message: a keyed message
+    /// for one of them is treated as unsafe to repeat.
     pub fn new(
-        mut settings: Settings, names: NameIndex, plain: BTreeSet<DestinationId>, seed: u64,
+        mut settings: Settings, names: NameIndex, without_dedup: BTreeSet<DestinationId>, seed: u64,
     ) -> Ledger {
-        let classes = Classes::new(settings.classes, names.classes.clone(), plain);
+        let classes = Classes::new(settings.classes, names.classes.clone(), without_dedup);
         settings.classes = classes.all().to_vec();
         Ledger {
-            most: settings.max_held as usize,
-            cancel: settings.allow_cancel,
-            most_out: if settings.second_copies { 2 } else { 1 },
-            ids: Ids::new(classes.longest().plus(ID_REST)),
+            max_held: settings.max_held as usize,
+            allow_cancel: settings.allow_cancel,
+            max_in_flight: if settings.second_copies { 2 } else { 1 },
+            request_ids: Ids::new(classes.max_give_up_after().plus(RUN_AFTER_END)),
             classes,
             class_of: BTreeMap::new(),
             policy: PolicyEngine::new(settings, seed),
             names,
-            owed: BTreeMap::new(),
+            open: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            next: 1,
-            given: 0,
+            next_number: 1,
+            with_final_status: 0,
             untried: BTreeSet::new(),
-            found: RecoveryStats::default(),
-            wakes: BTreeSet::new(),
+            recovery_stats: RecoveryStats::default(),
+            timers: BTreeSet::new(),
             receipts: Vec::new(),
             probes: BTreeMap::new(),
             actions: Vec::new(),
         }
     }
 
-    /// Destinations that the module doubts.
+    /// Destinations that the policy engine does not know to be healthy.
     pub fn unconfirmed_destinations(&self) -> impl Iterator<Item = DestinationId> {
         self.policy.unconfirmed_destinations()
     }
 
-    /// An endpoint of a destination in use is back in the list; see [`PolicyEngine::recall`].
-    pub fn restore_receiver(&mut self, now: Micros, to: ReceiverId, repute: RetainedHealth) {
-        self.policy.restore_receiver(now, to, repute);
+    /// An endpoint of an active destination is back in the list; see [`PolicyEngine::restore_receiver`].
+    pub fn restore_receiver(&mut self, now: Micros, receiver: ReceiverId, retained: RetainedHealth) {
+        self.policy.restore_receiver(now, receiver, retained);
     }
 
-    /// An endpoint was restarted; see [`PolicyEngine::restarted`].
-    pub fn on_receiver_restart(&mut self, now: Micros, to: ReceiverId) {
-        self.policy.on_receiver_restart(now, to);
+    /// An endpoint was restarted; see [`PolicyEngine::on_receiver_restart`].
+    pub fn on_receiver_restart(&mut self, now: Micros, receiver: ReceiverId) {
+        self.policy.on_receiver_restart(now, receiver);
     }
 
-    /// Has the module make one call to a destination, with nothing in it: it keeps every rule that a request's call
-    /// keeps, and goes after them all. Nobody is owed its end, and no log has it. Its number.
+    /// Submits a probe, one empty call to a destination, and returns its number. The probe obeys every rule
+    /// that the attempts of messages obey. It has no client that waits for its end, and no record in the log.
     pub fn submit_probe(
-        &mut self, now: Micros, class: ClassId, destination: DestinationId, left: Micros,
+        &mut self, now: Micros, class: ClassId, destination: DestinationId, time_left: Micros,
     ) -> u64 {
-        let n = self.allocate_number();
-        self.probes.insert(n, destination);
-        let m = Message {
-            id: MessageId(n),
+        let number = self.allocate_number();
+        self.probes.insert(number, destination);
+        let message = Message {
+            id: MessageId(number),
             class,
             tenant: None,
             ordering_key: None,
             destination,
-            time_left: left,
+            time_left,
         };
-        self.policy.on_event(now, Event::Submit(m), &mut self.actions);
-        n
+        self.policy.on_event(now, Event::Submit(message), &mut self.actions);
+        number
     }
 
-    /// The probe by this number has not ended.
-    pub fn probe_is_open(&self, n: u64) -> bool {
-        self.probes.contains_key(&n)
+    /// Whether the probe with this number has not ended.
+    pub fn probe_is_open(&self, number: u64) -> bool {
+        self.probes.contains_key(&number)
     }
 
-    /// A probe is not wanted any more; its call, if one is out, runs on.
-    pub fn cancel_probe(&mut self, now: Micros, n: u64) {
-        if self.probes.remove(&n).is_some() {
-            self.policy.on_event(now, Event::Withdrawn(MessageId(n)), &mut self.actions);
+    /// Withdraws a probe; its call, if one is in flight, is not cancelled.
+    pub fn cancel_probe(&mut self, now: Micros, number: u64) {
+        if self.probes.remove(&number).is_some() {
+            self.policy.on_event(now, Event::Withdrawn(MessageId(number)), &mut self.actions);
         }
     }
 
-    /// An endpoint told that nothing may go there before a time.
-    pub fn on_retry_after(&mut self, now: Micros, to: ReceiverId, until: Micros) {
-        self.policy.on_event(now, Event::RetryAfter(to, until.since(now)), &mut self.actions);
+    /// An endpoint sent a retry-after: no call may be sent to it before `wait_until`.
+    pub fn on_retry_after(&mut self, now: Micros, receiver: ReceiverId, wait_until: Micros) {
+        self.policy.on_event(now, Event::RetryAfter(receiver, wait_until.since(now)), &mut self.actions);
     }
 
-    /// An attempt is about to leave; see [`PolicyEngine::leave`].
-    pub fn recheck_send(&self, now: Micros, n: u64, attempt: u32, to: ReceiverId) -> SendRecheck {
-        self.policy.recheck_send(now, MessageId(n), attempt, to)
+    /// Whether an attempt may still be sent, right before that; see [`PolicyEngine::recheck_send`].
+    pub fn recheck_send(&self, now: Micros, number: u64, attempt: u32, receiver: ReceiverId) -> SendRecheck {
+        self.policy.recheck_send(now, MessageId(number), attempt, receiver)
     }
 
-    /// What another sender was asked to tell of an endpoint that has this number here.
-    pub fn on_peer_hint(&mut self, now: Micros, receiver: ReceiverId, news: &[u8]) {
+    /// The hint of another sender about an endpoint, which is `receiver` here.
+    pub fn on_peer_hint(&mut self, now: Micros, receiver: ReceiverId, hint: &[u8]) {
         let id = &receiver.0.to_le_bytes()[..4];
-        self.policy.on_event(now, Event::PeerHint([id, news].concat()), &mut self.actions);
+        self.policy.on_event(now, Event::PeerHint([id, hint].concat()), &mut self.actions);
     }
 
-    /// Requests that the module has not ended.
+    /// Number of messages that the policy engine has not ended.
     pub fn held_count(&self) -> usize {
-        self.owed.len() - self.given
+        self.open.len() - self.with_final_status
     }
-    /// No further request may be taken on.
+    /// Whether no further message may be accepted.
     pub fn is_full(&self) -> bool {
-        self.held_count() >= self.most
+        self.held_count() >= self.max_held
     }
-    /// An attempt may be called off.
+    /// Whether an attempt in flight may be cancelled.
     pub fn can_cancel_attempts(&self) -> bool {
-        self.cancel
+        self.allow_cancel
     }
-    /// What became of the messages that a start found untried.
+    /// How the messages ended that an earlier process left untried.
     pub fn recovery_stats(&self) -> RecoveryStats {
-        self.found
+        self.recovery_stats
     }
-    /// Attempts that are out.
+    /// Number of attempts in flight, over all messages.
     pub fn attempts_in_flight(&self) -> usize {
-        self.owed.values().map(|o| o.in_flight.len()).sum()
+        self.open.values().map(|message| message.in_flight.len()).sum()
     }
-    /// What is owed, for a new log.
+    /// All open messages, for the records of a new log.
     pub fn open_messages(&self) -> impl Iterator<Item = &OpenMessage> {
-        self.owed.values()
+        self.open.values()
     }
-    /// One of them.
-    pub fn get(&self, n: u64) -> Option<&OpenMessage> {
-        self.owed.get(&n)
+    /// The open message with this number.
+    pub fn get(&self, number: u64) -> Option<&OpenMessage> {
+        self.open.get(&number)
     }
-    /// The class and tenant by these names; an empty tenant is none.
+    /// Whether the settings have this class and tenant. An empty tenant stands for none and is always known.
     pub fn knows_class_and_tenant(&self, class: &str, tenant: &str) -> bool {
         self.classes.is_named(class)
             && (tenant.is_empty() || self.names.tenants.is_empty() || self.names.tenants.contains_key(tenant))
     }
-    /// The number of a zone; one that no settings name has none that anything else has.
+    /// The id of a zone. A zone that the settings do not name gets an id that no named zone has.
     pub fn zone_id(&self, name: &str) -> ZoneId {
         ZoneId(self.names.zones.get(name).copied().unwrap_or(usize::MAX))
     }
-    /// Takes note of the id of a hand-in. False if it came before and could still run, whoever sends it: a second
-    /// request with it would be a second copy at an endpoint.
-    pub fn remember_request_id(&mut self, now: Micros, id: &str) -> bool {
-        self.ids.fresh(now, id)
+    /// Records the request id of a submission. Returns false if an earlier submission with this id, of
+    /// whichever client, could still run: a second message with it would be a second copy at an endpoint.
+    pub fn remember_request_id(&mut self, now: Micros, request_id: &str) -> bool {
+        self.request_ids.fresh(now, request_id)
     }
-    /// When a request of this class is given up at the latest.
+    /// The latest deadline that a message of this class may have if it is accepted now.
     pub fn latest_deadline(&self, now: Micros, class: &str) -> Micros {
-        now.plus(self.classes.give_up(class).unwrap_or(Micros(u64::MAX)))
+        now.plus(self.classes.give_up_after(class).unwrap_or(Micros(u64::MAX)))
     }
-    /// This request is lost once it may have run: it must not be repeated.
-    pub fn unsafe_to_repeat(&self, n: u64) -> bool {
-        self.effect(n) == Effect::Unsafe
+    /// Whether a message must not be attempted again once it may have run.
+    pub fn unsafe_to_repeat(&self, number: u64) -> bool {
+        self.effect(number) == Effect::Unsafe
     }
-    /// The settings have changed. What is held keeps the class and the attempts that it was taken on under.
+    /// Applies changed settings. Open messages keep the class and the maximum number of attempts under which
+    /// they were accepted.
     pub fn reconfigure(&mut self, settings: &Settings, names: &NameIndex) {
         self.classes.replace(&settings.classes, &names.classes);
-        self.ids.keep_for(self.classes.longest().plus(ID_REST));
-        self.most = settings.max_held as usize;
+        self.request_ids.extend_retention(self.classes.max_give_up_after().plus(RUN_AFTER_END));
+        self.max_held = settings.max_held as usize;
         self.policy.set_classes(self.classes.all());
         self.policy.set_bounds(settings.max_attempts, settings.max_held);
     }
-    /// A number for the next request.
+    /// Returns an unused number for a message or probe.
     pub fn allocate_number(&mut self) -> u64 {
-        self.next += 1;
-        self.next - 1
+        self.next_number += 1;
+        self.next_number - 1
     }
 
-    /// The class by this name as it is now, for the record of a hand-in.
+    /// The current settings of the class with this name, for the record of a submission.
     pub fn current_class(&self, name: &str) -> Option<RecordedClass> {
-        self.classes.now(name)
+        self.classes.current(name)
     }
 
-    fn message(&mut self, now: Micros, t: &AcceptedMessage) -> Option<Message> {
-        let known = self.classes.all().len();
-        let class = self.classes.of(t)?;
-        if self.classes.all().len() > known {
+    /// The message as the policy engine needs it; none if its class has left the settings.
+    fn message(&mut self, now: Micros, accepted: &AcceptedMessage) -> Option<Message> {
+        let known_classes = self.classes.all().len();
+        let class = self.classes.resolve(accepted)?;
+        if self.classes.all().len() > known_classes {
             self.policy.set_classes(self.classes.all());
         }
         Some(Message {
-            id: MessageId(t.number),
+            id: MessageId(accepted.number),
             class,
-            tenant: self.names.tenants.get(&t.tenant).map(|i| TenantId(*i)),
+            tenant: self.names.tenants.get(&accepted.tenant).map(|index| TenantId(*index)),
             ordering_key: None,
-            destination: DestinationId(t.destination),
-            time_left: t.deadline.since(now),
+            destination: DestinationId(accepted.destination),
+            time_left: accepted.deadline.since(now),
         })
     }
 
-    /// Takes a request on. The caller has its record in the log.
-    pub fn accept(&mut self, now: Micros, taken: AcceptedMessage) {
-        let Some(m) = self.message(now, &taken) else { return };
-        self.next = self.next.max(taken.number + 1);
-        self.class_of.insert(taken.number, m.class);
-        self.owed.insert(taken.number, OpenMessage { accepted: taken, ..OpenMessage::default() });
-        self.policy.on_event(now, Event::Submit(m), &mut self.actions);
-    }
-
-    /// The times in the log are those of a wall clock, which may have been set back since: nothing has longer than its class
-    /// gives from now on, and an attempt of the future was made at no known time, so that no window is open for it.
-    fn bounded(&self, now: Micros, mut owed: OpenMessage) -> OpenMessage {
-        let then =
-            owed.accepted.recorded_class.map(|class| now.plus(ClassSettings::from(class).give_up_after));
-        let latest = then.unwrap_or_else(|| self.latest_deadline(now, &owed.accepted.class));
-        owed.accepted.deadline = owed.accepted.deadline.min(latest);
-        if let Some((at, _)) = owed.first_possible_run.as_mut().filter(|(at, _)| *at > now) {
+    /// Accepts a message. The caller has already written its record to the log.
+    pub fn accept(&mut self, now: Micros, accepted: AcceptedMessage) {
+        let Some(message) = self.message(now, &accepted) else { return };
+        self.next_number = self.next_number.max(accepted.number + 1);
+        self.class_of.insert(accepted.number, message.class);
+        self.open.insert(accepted.number, OpenMessage { accepted, ..OpenMessage::default() });
+        self.policy.on_event(now, Event::Submit(message), &mut self.actions);
+    }
+
+    /// Limits the times of a recovered message. They come from a wall clock that may have been set back
+    /// since: no message gets more time than its class gives from now on, and an attempt with a time in the
+    /// future counts as sent at an unknown time, so that its deduplication window has passed.
+    fn bounded(&self, now: Micros, mut message: OpenMessage) -> OpenMessage {
+        let by_recorded_class =
+            message.accepted.recorded_class.map(|class| now.plus(ClassSettings::from(class).give_up_after));
+        let latest = by_recorded_class.unwrap_or_else(|| self.latest_deadline(now, &message.accepted.class));
+        message.accepted.deadline = message.accepted.deadline.min(latest);
+        if let Some((at, _)) = message.first_possible_run.as_mut().filter(|(at, _)| *at > now) {
             *at = Micros(0);
         }
-        owed
-    }
-
-    /// Takes over what an earlier process owed. True if its end was decided there and only needs telling.
-    pub fn resume(&mut self, now: Micros, owed: OpenMessage) -> bool {
-        let n = owed.accepted.number;
-        self.next = self.next.max(n + 1);
-        let owed = self.bounded(now, owed);
-        let message = self.message(now, &owed.accepted);
-        self.class_of.extend(message.as_ref().map(|m| (n, m.class)));
-        self.ids.fresh(now, &owed.accepted.request_id);
-        let maybe_ran = owed.first_possible_run.as_ref().map(|(at, z)| (*at, self.zone_id(z)));
-        let past = AttemptHistory { attempts: owed.attempts, first_possible_run: maybe_ran };
-        let given = owed.final_status.is_some();
-        if !given && owed.attempts == 0 {
-            self.found.untried += 1;
-            if owed.accepted.deadline <= now.plus(TIME_UP) {
-                self.found.expired_at_start += 1;
+        message
+    }
+
+    /// Takes over an open message of an earlier process. Returns true if that process had already decided its
+    /// final status, which only has to be reported.
+    pub fn resume(&mut self, now: Micros, message: OpenMessage) -> bool {
+        let number = message.accepted.number;
+        self.next_number = self.next_number.max(number + 1);
+        let open = self.bounded(now, message);
+        let message = self.message(now, &open.accepted);
+        self.class_of.extend(message.as_ref().map(|message| (number, message.class)));
+        self.request_ids.fresh(now, &open.accepted.request_id);
+        let first_possible_run = open.first_possible_run.as_ref().map(|(at, zone)| (*at, self.zone_id(zone)));
+        let history = AttemptHistory { attempts: open.attempts, first_possible_run };
+        let has_final_status = open.final_status.is_some();
+        if !has_final_status && open.attempts == 0 {
+            self.recovery_stats.untried += 1;
+            if open.accepted.deadline <= now.plus(EXPIRY_MARGIN) {
+                self.recovery_stats.expired_at_start += 1;
             } else {
-                self.untried.insert(n);
+                self.untried.insert(number);
             }
         }
-        self.attempts.insert(n, owed.attempts);
-        self.owed.insert(n, owed);
-        self.given += usize::from(given);
+        self.attempts.insert(number, open.attempts);
+        self.open.insert(number, open);
+        self.with_final_status += usize::from(has_final_status);
         match message {
-            _ if given => {}
-            Some(m) => self.policy.on_event(now, Event::Resume(m, past), &mut self.actions),
-            // Its class has left the settings: nothing can be decided on it any more.
-            None => self.actions.push(Action::Fail(MessageId(n))),
+            _ if has_final_status => {}
+            Some(message) => {
+                self.policy.on_event(now, Event::Resume(message, history), &mut self.actions);
+            }
+            // Its class has left the settings, so the policy engine cannot decide about it any more.
+            None => self.actions.push(Action::Fail(MessageId(number))),
         }
-        given
+        has_final_status
     }
 
-    /// The list, or word that it could not be had.
+    /// Passes on an event about the endpoint list: its content, or the failure of a list call.
     pub fn on_list_event(&mut self, now: Micros, event: Event) {
         self.policy.on_event(now, event, &mut self.actions);
     }
 
-    /// Has the module forget a destination for which nothing is held or out: what it was like, and what its endpoints
-    /// were like. None if it cannot rest now.
+    /// Removes a destination without messages and calls from the policy engine. Returns its retained health
+    /// and that of its endpoints; none if the destination cannot be deactivated now.
     pub fn deactivate(
         &mut self, now: Micros, destination: u64,
     ) -> Option<(RetainedHealth, Vec<(ReceiverId, RetainedHealth)>)> {
         self.policy.deactivate(now, DestinationId(destination))
     }
 
-    /// Takes a destination in that has rested; see [`PolicyEngine::wake`].
+    /// Activates an inactive destination; see [`PolicyEngine::activate`].
     pub fn activate(
-        &mut self, now: Micros, destination: u64, whole: RetainedHealth,
-        each: Vec<(ListEntry, RetainedHealth)>, assumed: f64,
+        &mut self, now: Micros, destination: u64, retained: RetainedHealth,
+        receivers: Vec<(ListEntry, RetainedHealth)>, assumed_per_s: f64,
     ) {
-        self.policy.activate(now, DestinationId(destination), whole, each, assumed);
+        self.policy.activate(now, DestinationId(destination), retained, receivers, assumed_per_s);
     }
 
-    /// An attempt is about to be made: its record.
+    /// Begins an attempt and returns its record.
     ///
     /// # Errors
-    /// It must not be made. What the module has decided is looked at again here, by what the log knows of the request.
+    /// The attempt must not be made. This checks the decision of the policy engine again, by what the log knows
+    /// about the message.
     pub fn begin_attempt(
-        &mut self, n: u64, attempt: u32, endpoint: &str, zone: &str, at: Micros,
+        &mut self, number: u64, attempt: u32, endpoint: &str, zone: &str, at: Micros,
     ) -> Result<Record, AttemptDenied> {
-        let open =
-            self.owed.get(&n).filter(|o| o.in_flight.len() < self.most_out && o.final_status.is_none());
+        let open = self
+            .open
+            .get(&number)
+            .filter(|message| message.in_flight.len() < self.max_in_flight && message.final_status.is_none());
         if !self.may_run(open.ok_or(AttemptDenied::NotOpen)?, zone, at) {
             return Err(AttemptDenied::RepeatForbidden);
         }
-        let o = self.owed.get_mut(&n).ok_or(AttemptDenied::NotOpen)?;
+        let message = self.open.get_mut(&number).ok_or(AttemptDenied::NotOpen)?;
         let (endpoint, zone) = (endpoint.to_owned(), zone.to_owned());
-        let record = Record::Attempt { number: n, attempt, endpoint, zone, at };
-        o.apply(&record);
-        self.found.attempted += usize::from(self.untried.remove(&n));
+        let record = Record::Attempt { number, attempt, endpoint, zone, at };
+        message.apply(&record);
+        self.recovery_stats.attempted += usize::from(self.untried.remove(&number));
         Ok(record)
     }
 
-    /// The effect, group and window of its class allow that a request runs at an endpoint of this zone.
-    fn may_run(&self, o: &OpenMessage, zone: &str, at: Micros) -> bool {
-        let Some((sent, first_zone)) = o.in_flight.values().chain(&o.first_possible_run).min_by_key(|a| a.0)
+    /// Whether the effect of its class, with scope and window, allows that a message runs at an endpoint of
+    /// this zone.
+    fn may_run(&self, message: &OpenMessage, zone: &str, at: Micros) -> bool {
+        let Some((first_sent, first_zone)) =
+            message.in_flight.values().chain(&message.first_possible_run).min_by_key(|attempt| attempt.0)
         else {
             return true;
         };
-        match self.effect(o.accepted.number) {
+        match self.effect(message.accepted.number) {
             Effect::Safe => true,
             Effect::Unsafe => false,
-            Effect::Keyed { scope: group, window } => {
-                at < sent.plus(window) && (group == DedupScope::Destination || zone == first_zone)
+            Effect::Keyed { scope, window } => {
+                at < first_sent.plus(window) && (scope == DedupScope::Destination || zone == first_zone)
             }
         }
     }
 
-    /// What a repeat of this request does.
-    fn effect(&self, n: u64) -> Effect {
-        self.classes.effect(self.class_of.get(&n).copied())
+    /// What happens when this message runs a second time.
+    fn effect(&self, number: u64) -> Effect {
+        self.classes.effect(self.class_of.get(&number).copied())
     }
 
-    /// Until when the rules let an attempt go that the module has decided on.
-    pub fn send_deadline(&self, n: u64, attempt: u32) -> Option<Micros> {
-        self.policy.send_deadline(MessageId(n), attempt)
+    /// Until when the rules allow that an attempt which the policy engine decided is sent.
+    pub fn send_deadline(&self, number: u64, attempt: u32) -> Option<Micros> {
+        self.policy.send_deadline(MessageId(number), attempt)
     }
 
-    /// The attempt could not be put in the log, and was not made.
-    pub fn undo_attempt(&mut self, n: u64, attempt: u32) {
-        if let Some(o) = self.owed.get_mut(&n) {
-            o.attempts = o.attempts.saturating_sub(1);
-            o.in_flight.remove(&attempt);
+    /// Reverts [`Ledger::begin_attempt`]: its record could not be written to the log, and the attempt was not
+    /// made.
+    pub fn undo_attempt(&mut self, number: u64, attempt: u32) {
+        if let Some(message) = self.open.get_mut(&number) {
+            message.attempts = message.attempts.saturating_sub(1);
+            message.in_flight.remove(&attempt);
         }
     }
 
-    /// An attempt has ended. The record to keep, if any.
-    pub fn end_attempt(&mut self, now: Micros, a: &AttemptOutcome) -> Option<Record> {
-        // One call is all that a probe is.
-        let probe = self.probes.remove(&a.number).is_some();
-        self.on_retry_after(now, a.receiver, a.wait_until);
-        let over = a.finished || a.verdict == Verdict::Delivered || probe;
+    /// Ends an attempt. Returns the record to keep, if any.
+    pub fn end_attempt(&mut self, now: Micros, ended: &AttemptOutcome) -> Option<Record> {
+        // A probe makes only one call.
+        let is_probe = self.probes.remove(&ended.number).is_some();
+        self.on_retry_after(now, ended.receiver, ended.wait_until);
+        let finished = ended.finished || ended.verdict == Verdict::Delivered || is_probe;
         let outcome = Outcome {
-            id: MessageId(a.number),
-            attempt: a.attempt,
-            receiver: a.receiver,
-            verdict: a.verdict,
-            elapsed: a.elapsed,
-            finished: over,
-            limit_per_s: a.load_report.0,
-            remaining_share: a.load_report.1,
+            id: MessageId(ended.number),
+            attempt: ended.attempt,
+            receiver: ended.receiver,
+            verdict: ended.verdict,
+            elapsed: ended.elapsed,
+            finished,
+            limit_per_s: ended.load_report.0,
+            remaining_share: ended.load_report.1,
         };
         self.policy.on_event(now, Event::Outcome(outcome), &mut self.actions);
-        if over {
-            if let Some(o) =
-                self.owed.get_mut(&a.number).filter(|o| o.accepted.wants_receipt && o.final_status.is_none())
+        if finished {
+            if let Some(message) = self
+                .open
+                .get_mut(&ended.number)
+                .filter(|message| message.accepted.wants_receipt && message.final_status.is_none())
             {
-                o.final_status = Some(FinalStatus::Delivered);
-                o.in_flight.clear();
-                self.given += 1;
-                self.receipts.push(a.number);
-                return Some(Record::FinalStatus { number: a.number, status: FinalStatus::Delivered });
+                message.final_status = Some(FinalStatus::Delivered);
+                message.in_flight.clear();
+                self.with_final_status += 1;
+                self.receipts.push(ended.number);
+                return Some(Record::FinalStatus { number: ended.number, status: FinalStatus::Delivered });
             }
-            return self.close(a.number);
+            return self.close(ended.number);
         }
-        let o = self.owed.get_mut(&a.number).filter(|o| o.in_flight.contains_key(&a.attempt))?;
-        let record =
-            Record::Outcome { number: a.number, attempt: a.attempt, status: AttemptStatus::from(a.verdict) };
-        o.apply(&record);
+        let message = self
+            .open
+            .get_mut(&ended.number)
+            .filter(|message| message.in_flight.contains_key(&ended.attempt))?;
+        let record = Record::Outcome {
+            number: ended.number,
+            attempt: ended.attempt,
+            status: AttemptStatus::from(ended.verdict),
+        };
+        message.apply(&record);
         Some(record)
     }
 
-    /// Nothing more is owed. The record to keep.
-    pub fn close(&mut self, n: u64) -> Option<Record> {
-        let o = self.owed.remove(&n)?;
-        self.given -= usize::from(o.final_status.is_some());
-        self.untried.remove(&n);
-        self.attempts.remove(&n);
-        self.class_of.remove(&n);
-        Some(Record::Closed(n))
+    /// Removes a message for which nothing more has to be done. Returns the record to keep.
+    pub fn close(&mut self, number: u64) -> Option<Record> {
+        let message = self.open.remove(&number)?;
+        self.with_final_status -= usize::from(message.final_status.is_some());
+        self.untried.remove(&number);
+        self.attempts.remove(&number);
+        self.class_of.remove(&number);
+        Some(Record::Closed(number))
     }
 
-    /// Its client never heard that it was taken on.
-    pub fn withdraw(&mut self, now: Micros, n: u64) -> Option<Record> {
-        self.policy.on_event(now, Event::Withdrawn(MessageId(n)), &mut self.actions);
-        self.close(n)
+    /// Withdraws a message whose client never learned that it was accepted. Returns the record to keep.
+    pub fn withdraw(&mut self, now: Micros, number: u64) -> Option<Record> {
+        self.policy.on_event(now, Event::Withdrawn(MessageId(number)), &mut self.actions);
+        self.close(number)
     }
 
-    /// When [`Ledger::decide`] is due at the latest.
+    /// The latest time at which [`Ledger::decide`] must be called.
     pub fn decide_due(&self) -> Option<Micros> {
-        self.wakes.first().copied()
+        self.timers.first().copied()
     }
 
-    /// Decides, after all that happened at one moment. With `send` false nothing new goes out.
-    pub fn decide(&mut self, now: Micros, send: bool, steps: &mut Vec<LedgerAction>) {
-        while self.wakes.first().is_some_and(|t| *t <= now) {
-            self.wakes.pop_first();
+    /// Decides, after all events of the same moment. With `send` false no new attempt is decided.
+    pub fn decide(&mut self, now: Micros, send: bool, actions: &mut Vec<LedgerAction>) {
+        while self.timers.first().is_some_and(|at| *at <= now) {
+            self.timers.pop_first();
             self.policy.on_event(now, Event::TimerFired, &mut self.actions);
         }
         if send {
             self.policy.decide(now, &mut self.actions);
         }
-        steps.extend(
+        actions.extend(
             self.receipts
                 .drain(..)
-                .map(|n| LedgerAction::ReportFinalStatus { number: n, status: FinalStatus::Delivered }),
+                .map(|number| LedgerAction::ReportFinalStatus { number, status: FinalStatus::Delivered }),
         );
         for action in std::mem::take(&mut self.actions) {
-            steps.extend(self.step(now, action));
+            actions.extend(self.ledger_action(now, action));
         }
     }
 
-    /// When the time of a request is over that waits for nothing but that: it has no attempt out.
+    /// The earliest deadline of the messages that have no attempt in flight and no final status; see
+    /// [`Ledger::expire`].
     pub fn expiry_due(&self) -> Option<Micros> {
-        self.waiting().map(|o| o.accepted.deadline).min()
-    }
-
-    /// Ends the requests whose time is over, where nothing more is decided: a process that ends sends nothing new, and owes
-    /// its ends in time all the same.
-    pub fn expire(&mut self, now: Micros, steps: &mut Vec<LedgerAction>) {
-        let over: Vec<_> =
-            self.waiting().filter(|o| o.accepted.deadline <= now).map(|o| o.accepted.number).collect();
-        for n in over {
-            let may_have_run = self.owed.get(&n).is_some_and(|o| o.first_possible_run.is_some());
-            let end = if may_have_run { FinalStatus::Failed } else { FinalStatus::Returned(None) };
-            steps.extend(self.end(now, n, end));
+        self.waiting_messages().map(|message| message.accepted.deadline).min()
+    }
+
+    /// Ends the messages whose deadline has passed while [`Ledger::decide`] is not called any more: a process
+    /// that shuts down sends nothing new, but must still end its messages in time.
+    pub fn expire(&mut self, now: Micros, actions: &mut Vec<LedgerAction>) {
+        let expired: Vec<_> = self
+            .waiting_messages()
+            .filter(|message| message.accepted.deadline <= now)
+            .map(|message| message.accepted.number)
+            .collect();
+        for number in expired {
+            let may_have_run =
+                self.open.get(&number).is_some_and(|message| message.first_possible_run.is_some());
+            let status = if may_have_run { FinalStatus::Failed } else { FinalStatus::Returned(None) };
+            actions.extend(self.set_final_status(now, number, status));
         }
     }
 
-    fn waiting(&self) -> impl Iterator<Item = &OpenMessage> {
-        self.owed.values().filter(|o| o.final_status.is_none() && o.in_flight.is_empty())
+    /// Messages without a final status that have no attempt in flight.
+    fn waiting_messages(&self) -> impl Iterator<Item = &OpenMessage> {
+        self.open.values().filter(|message| message.final_status.is_none() && message.in_flight.is_empty())
     }
 
-    fn step(&mut self, now: Micros, action: Action) -> Option<LedgerAction> {
+    fn ledger_action(&mut self, now: Micros, action: Action) -> Option<LedgerAction> {
         Some(match action {
-            Action::Send { id, receiver, timeout: patience } if self.probes.contains_key(&id.0) => {
-                LedgerAction::Probe { number: id.0, receiver: receiver, timeout: patience }
+            Action::Send { id, receiver, timeout } if self.probes.contains_key(&id.0) => {
+                LedgerAction::Probe { number: id.0, receiver, timeout }
             }
             Action::Refuse { id, .. } | Action::Fail(id) if self.probes.remove(&id.0).is_some() => {
                 return None;
             }
-            Action::Send { id, receiver, timeout: patience } => {
-                let made = self.attempts.entry(id.0).or_insert(0);
-                *made += 1;
-                LedgerAction::Call { number: id.0, attempt: *made - 1, receiver: receiver, timeout: patience }
+            Action::Send { id, receiver, timeout } => {
+                let attempts = self.attempts.entry(id.0).or_insert(0);
+                *attempts += 1;
+                LedgerAction::Call { number: id.0, attempt: *attempts - 1, receiver, timeout }
+            }
+            Action::Refuse { id, retry_after } => {
+                self.set_final_status(now, id.0, FinalStatus::Returned(retry_after))?
             }
-            Action::Refuse { id, retry_after } => self.end(now, id.0, FinalStatus::Returned(retry_after))?,
-            Action::Fail(id) => self.end(now, id.0, FinalStatus::Failed)?,
+            Action::Fail(id) => self.set_final_status(now, id.0, FinalStatus::Failed)?,
             Action::CancelAttempt { id, attempt } => LedgerAction::CancelAttempt { number: id.0, attempt },
-            Action::CloseIdleConnections(to) => LedgerAction::CloseIdleConnections(to),
+            Action::CloseIdleConnections(receiver) => LedgerAction::CloseIdleConnections(receiver),
             Action::RequestList => LedgerAction::RequestList,
             Action::SetTimer(span) => {
-                self.wakes.insert(now.plus(span));
+                self.timers.insert(now.plus(span));
                 return None;
             }
             Action::LogUnhealthy { receiver, destination, verdict } => {
                 LedgerAction::LogUnhealthy { receiver, destination, verdict }
             }
             Action::SendPeerHint(bytes) => {
-                let (id, news) = bytes.split_first_chunk::<4>()?;
-                LedgerAction::SendPeerHint(ReceiverId(u32::from_le_bytes(*id).into()), news.to_vec())
+                let (id, hint) = bytes.split_first_chunk::<4>()?;
+                LedgerAction::SendPeerHint(ReceiverId(u32::from_le_bytes(*id).into()), hint.to_vec())
             }
         })
     }
 
-    fn end(&mut self, now: Micros, n: u64, end: FinalStatus) -> Option<LedgerAction> {
-        let o = self.owed.get_mut(&n).filter(|o| o.final_status.is_none())?;
-        o.final_status = Some(end);
-        self.given += 1;
-        if self.untried.remove(&n) {
-            let late = now.plus(TIME_UP) >= o.accepted.deadline;
-            *(if late { &mut self.found.expired_unattempted } else { &mut self.found.ended_early }) += 1;
+    fn set_final_status(&mut self, now: Micros, number: u64, status: FinalStatus) -> Option<LedgerAction> {
+        let message = self.open.get_mut(&number).filter(|message| message.final_status.is_none())?;
+        message.final_status = Some(status);
+        self.with_final_status += 1;
+        if self.untried.remove(&number) {
+            let expired = now.plus(EXPIRY_MARGIN) >= message.accepted.deadline;
+            *(if expired {
+                &mut self.recovery_stats.expired_unattempted
+            } else {
+                &mut self.recovery_stats.ended_early
+            }) += 1;
         }
-        Some(LedgerAction::ReportFinalStatus { number: n, status: end })
+        Some(LedgerAction::ReportFinalStatus { number, status })
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,30 +1,32 @@
-//! The life of a request around the module: taken on, attempted, ended, and carried over a restart. No I/O,
-//! no clock and no wire: a front hands requests in, a caller carries out [`Step`]s and keeps [`Record`]s.
+//! The life cycle of a message around the policy engine: accepted, attempted, ended, and recovered after a
+//! restart. This module has no I/O, no clock and no network protocol: a frontend submits messages, and the
+//! caller carries out [`LedgerAction`]s and stores [`Record`]s.
 
+mod actions;
 mod classes;
-mod ids;
 mod ledger;
+mod recent_ids;
 mod record;
 mod recovery;
-mod step;
 
-pub use ids::Ids;
+pub use actions::{AttemptDenied, AttemptOutcome, LedgerAction, RecoveryStats};
 pub use ledger::{Ledger, add_probe_class};
+pub use recent_ids::Ids;
 pub use record::{AcceptedMessage, AttemptStatus, FinalStatus, LogScan, Record, RecordedClass, scan_log};
 pub use recovery::{OpenMessage, recover};
-pub use step::{AttemptDenied, AttemptOutcome, LedgerAction, RecoveryStats};
 
 use std::collections::BTreeMap;
 
-/// Names that the wires use and the module knows by place.
+/// The names of classes, tenants, kinds and zones as protocols use them, with the index of each in the
+/// settings.
 #[derive(Clone, Debug, Default)]
 pub struct NameIndex {
-    /// Of classes.
+    /// Indices of classes by name.
     pub classes: BTreeMap<String, usize>,
-    /// Of tenants.
+    /// Indices of tenants by name.
     pub tenants: BTreeMap<String, usize>,
-    /// Of kinds of destination.
+    /// Indices of kinds of destination by name.
     pub kinds: BTreeMap<String, usize>,
-    /// Of zones.
+    /// Indices of zones by name.
     pub zones: BTreeMap<String, usize>,
 }
--- a/src/core/record.rs
+++ b/src/core/record.rs
@@ -1,24 +1,26 @@
-//! Log records, as bytes: a frame is a mark, a length, a checksum and a payload.
+//! Log records and their encoding. A frame in the log is a marker, a length, a checksum and a payload.
 
 use crate::interface::{ClassSettings, DedupScope, Effect, Micros, Verdict};
 
-const MARK: [u8; 2] = [0xa7, 0x1e];
-const HEAD: usize = 10;
-/// Longer frames are taken for damage.
-const LONGEST: usize = 1 << 20;
+const FRAME_MARKER: [u8; 2] = [0xa7, 0x1e];
+/// Length of marker, payload length and checksum.
+const FRAME_HEADER_BYTES: usize = 10;
+/// A frame with a longer payload counts as damaged.
+const MAX_PAYLOAD_BYTES: usize = 1 << 20;
 
-/// A request as it was taken on. Times are wall-clock, so that they hold over a restart.
+/// A message as it was accepted. Times are wall-clock times, so that they stay valid after a restart.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AcceptedMessage {
-    /// The number it has in the log.
+    /// Its number in the log.
     pub number: u64,
-    /// Which front took it, as the caller numbers its fronts.
+    /// The frontend that accepted it, by the numbering of the caller.
     pub frontend: u8,
     /// The id by which its client knows it.
     pub request_id: String,
     /// Name of its class.
     pub class: String,
-    /// That class as it was then: its name may stand for another one later. None in logs of before this was kept.
+    /// The settings of that class at acceptance: the name may stand for other settings later. None in logs of
+    /// older versions, which did not record them.
     pub recorded_class: Option<RecordedClass>,
     /// Name of its tenant; empty if it has none.
     pub tenant: String,
@@ -26,179 +28,186 @@
     pub destination: u64,
     /// Its idempotency key; empty if it has none.
     pub idempotency_key: String,
-    /// What its front needs to end it.
+    /// Data that the frontend needs to report the end of the message to its client.
     pub frontend_note: String,
-    /// Its client is told of a delivery too.
+    /// Whether its client wants a receipt for a delivery too.
     pub wants_receipt: bool,
-    /// When its time is up.
+    /// Its deadline.
     pub deadline: Micros,
-    /// What is delivered.
+    /// The content to deliver.
     pub body: Vec<u8>,
 }
 
-/// The settings of a class at a time.
+/// The settings of a class at the time when a message was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordedClass {
-    aim: Micros,
-    give_up: Micros,
+    target_latency: Micros,
+    give_up_after: Micros,
     effect: Effect,
     in_order: bool,
-    /// Bits of the numbers, so that what is read is what was written.
-    worth: u64,
-    late_share: u64,
+    /// Bits of the floating-point number, so that reading gives exactly what was written.
+    value_bits: u64,
+    /// Bits of the floating-point number, for the same reason.
+    late_value_share_bits: u64,
 }
 
 impl From<&ClassSettings> for RecordedClass {
     fn from(class: &ClassSettings) -> RecordedClass {
-        let ClassSettings { target_latency: aim, give_up_after: give_up, effect, in_order, .. } = *class;
-        let (worth, late_share) = (class.value.to_bits(), class.late_value_share.to_bits());
-        RecordedClass { aim, give_up, effect, in_order, worth, late_share }
+        let ClassSettings { target_latency, give_up_after, effect, in_order, .. } = *class;
+        let (value_bits, late_value_share_bits) = (class.value.to_bits(), class.late_value_share.to_bits());
+        RecordedClass { target_latency, give_up_after, effect, in_order, value_bits, late_value_share_bits }
     }
 }
 
 impl From<RecordedClass> for ClassSettings {
-    fn from(then: RecordedClass) -> ClassSettings {
-        let RecordedClass { aim, give_up, effect, in_order, .. } = then;
-        let (worth, late_share) = (f64::from_bits(then.worth), f64::from_bits(then.late_share));
-        ClassSettings {
-            target_latency: aim,
-            give_up_after: give_up,
-            effect,
-            in_order,
-            value: worth,
-            late_value_share: late_share,
-        }
+    fn from(recorded: RecordedClass) -> ClassSettings {
+        let RecordedClass { target_latency, give_up_after, effect, in_order, .. } = recorded;
+        let (value, late_value_share) =
+            (f64::from_bits(recorded.value_bits), f64::from_bits(recorded.late_value_share_bits));
+        ClassSettings { target_latency, give_up_after, effect, in_order, value, late_value_share }
     }
 }
 
 impl RecordedClass {
-    fn write(&self, to: &mut Writer) {
+    fn write(&self, writer: &mut Writer) {
         let (code, window) = match self.effect {
             Effect::Safe => (0, Micros(0)),
             Effect::Keyed { scope: DedupScope::Destination, window } => (1, window),
             Effect::Keyed { scope: DedupScope::Zone, window } => (2, window),
             Effect::Unsafe => (3, Micros(0)),
         };
-        to.0.extend([code, u8::from(self.in_order)]);
-        to.num(window.0).num(self.aim.0).num(self.give_up.0).num(self.worth).num(self.late_share);
+        writer.0.extend([code, u8::from(self.in_order)]);
+        writer
+            .num(window.0)
+            .num(self.target_latency.0)
+            .num(self.give_up_after.0)
+            .num(self.value_bits)
+            .num(self.late_value_share_bits);
     }
 
-    fn read(from: &mut Reader<'_>) -> Option<RecordedClass> {
-        let (code, in_order, window) = (from.byte()?, from.byte()? != 0, Micros(from.num()?));
+    fn read(reader: &mut Reader<'_>) -> Option<RecordedClass> {
+        let (code, in_order, window) = (reader.byte()?, reader.byte()? != 0, Micros(reader.num()?));
         let effect = match code {
             0 => Effect::Safe,
             1 => Effect::Keyed { scope: DedupScope::Destination, window },
             2 => Effect::Keyed { scope: DedupScope::Zone, window },
             _ => Effect::Unsafe,
         };
-        let (aim, give_up) = (Micros(from.num()?), Micros(from.num()?));
-        Some(RecordedClass { aim, give_up, effect, in_order, worth: from.num()?, late_share: from.num()? })
+        let (target_latency, give_up_after) = (Micros(reader.num()?), Micros(reader.num()?));
+        Some(RecordedClass {
+            target_latency,
+            give_up_after,
+            effect,
+            in_order,
+            value_bits: reader.num()?,
+            late_value_share_bits: reader.num()?,
+        })
     }
 }
 
-/// How an attempt ended, as far as a restart needs to know.
+/// How an attempt ended, as far as recovery after a restart needs to know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStatus {
-    /// It never ran.
+    /// The message never ran.
     NeverRan,
-    /// It may have run.
+    /// The message may have run.
     MayHaveRun,
-    /// It never ran, and is none of the attempts that its request may have.
+    /// The message never ran, and the attempt does not count towards its maximum number of attempts.
     HeldBack,
 }
 
 impl From<Verdict> for AttemptStatus {
-    fn from(v: Verdict) -> AttemptStatus {
-        match v {
+    fn from(verdict: Verdict) -> AttemptStatus {
+        match verdict {
             Verdict::HeldBack => AttemptStatus::HeldBack,
-            v if v.may_have_run() => AttemptStatus::MayHaveRun,
+            verdict if verdict.may_have_run() => AttemptStatus::MayHaveRun,
             _ => AttemptStatus::NeverRan,
         }
     }
 }
 
-/// The end of a request that its client is told.
+/// How a message ended, as reported to its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalStatus {
-    /// Nothing is promised.
+    /// Failed: the message may or may not have run.
     Failed,
-    /// Handing it in again is harmless, best after the wait.
+    /// Not delivered: the client may safely submit the message again, best after this span.
     Returned(Option<Micros>),
-    /// Delivered, and its client wants to know.
+    /// Delivered; reported to clients that want a receipt.
     Delivered,
 }
 
-/// What the log keeps.
+/// One record of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
-    /// A request was taken on.
+    /// A message was accepted.
     Accepted(AcceptedMessage),
     /// An attempt is about to be made.
     Attempt {
-        /// The request.
+        /// Number of the message.
         number: u64,
-        /// Which attempt: two may be out at once.
+        /// Index of the attempt: two attempts may be in flight at once.
         attempt: u32,
         /// Name of the endpoint.
         endpoint: String,
-        /// Name of its zone.
+        /// Name of the endpoint's zone.
         zone: String,
-        /// Wall-clock time.
+        /// Wall-clock time of the send.
         at: Micros,
     },
-    /// An attempt that was out has ended.
+    /// An attempt in flight has ended.
     Outcome {
-        /// The request.
+        /// Number of the message.
         number: u64,
-        /// Which attempt.
+        /// Index of the attempt.
         attempt: u32,
-        /// How.
+        /// How the attempt ended.
         status: AttemptStatus,
     },
-    /// What an earlier log knew of a request's attempts.
+    /// The attempts for a message that an earlier log had recorded.
     AttemptHistory {
-        /// The request.
+        /// Number of the message.
         number: u64,
-        /// Attempts made.
+        /// Number of attempts made.
         attempts: u32,
-        /// When and in which zone the first went that may have run.
+        /// Send time and zone of the first attempt that may have run.
         first_possible_run: Option<(Micros, String)>,
     },
-    /// The module gave it up; its client is still to be told.
+    /// The final status of a message is decided; it still has to be reported to the client.
     FinalStatus {
-        /// The request.
+        /// Number of the message.
         number: u64,
-        /// How.
+        /// The final status.
         status: FinalStatus,
     },
-    /// Nothing more is owed.
+    /// Nothing more has to be done for the message with this number.
     Closed(u64),
 }
 
 struct Writer(Vec<u8>);
 
 impl Writer {
-    fn num(&mut self, n: u64) -> &mut Self {
-        self.0.extend(n.to_le_bytes());
+    fn num(&mut self, value: u64) -> &mut Self {
+        self.0.extend(value.to_le_bytes());
         self
     }
-    fn bytes(&mut self, b: &[u8]) -> &mut Self {
-        self.0.extend((b.len() as u32).to_le_bytes());
-        self.0.extend(b);
+    fn bytes(&mut self, bytes: &[u8]) -> &mut Self {
+        self.0.extend((bytes.len() as u32).to_le_bytes());
+        self.0.extend(bytes);
         self
     }
-    fn text(&mut self, s: &str) -> &mut Self {
-        self.bytes(s.as_bytes())
+    fn text(&mut self, text: &str) -> &mut Self {
+        self.bytes(text.as_bytes())
     }
 }
 
 struct Reader<'a>(&'a [u8]);
 
 impl<'a> Reader<'a> {
-    fn take(&mut self, n: usize) -> Option<&'a [u8]> {
-        let (head, rest) = self.0.split_at_checked(n)?;
-        self.0 = rest;
-        Some(head)
+    fn take(&mut self, len: usize) -> Option<&'a [u8]> {
+        let (taken, remaining) = self.0.split_at_checked(len)?;
+        self.0 = remaining;
+        Some(taken)
     }
     fn byte(&mut self) -> Option<u8> {
         self.take(1).map(|b| b[0])
@@ -207,171 +216,188 @@
         Some(u64::from_le_bytes(self.take(8)?.try_into().ok()?))
     }
     fn bytes(&mut self) -> Option<&'a [u8]> {
-        let n = u32::from_le_bytes(self.take(4)?.try_into().ok()?);
-        self.take(n as usize)
+        let len = u32::from_le_bytes(self.take(4)?.try_into().ok()?);
+        self.take(len as usize)
     }
     fn text(&mut self) -> Option<String> {
         String::from_utf8(self.bytes()?.to_vec()).ok()
     }
-    /// Logs of before second copies name no attempt: one was out at a time, so one number does for all.
+    /// Reads the index of an attempt. It is missing in logs of versions without second copies: they had only
+    /// one attempt in flight at a time, so one index serves for all.
     fn attempt(&mut self) -> u32 {
-        self.num().and_then(|n| u32::try_from(n).ok()).unwrap_or_default()
+        self.num().and_then(|index| u32::try_from(index).ok()).unwrap_or_default()
     }
 }
 
 impl Record {
-    /// The request it is about.
+    /// Number of the message that the record is about.
     pub fn number(&self) -> u64 {
         match self {
-            Record::Accepted(t) => t.number,
-            Record::Attempt { number: n, .. } | Record::Outcome { number: n, .. } => *n,
-            Record::AttemptHistory { number: n, .. }
-            | Record::FinalStatus { number: n, .. }
-            | Record::Closed(n) => *n,
+            Record::Accepted(message) => message.number,
+            Record::Attempt { number, .. } | Record::Outcome { number, .. } => *number,
+            Record::AttemptHistory { number, .. }
+            | Record::FinalStatus { number, .. }
+            | Record::Closed(number) => *number,
         }
     }
 
-    /// Appends its frame.
+    /// Appends the frame of this record.
     pub fn write(&self, out: &mut Vec<u8>) {
-        let mut w = Writer(Vec::with_capacity(64));
+        let mut writer = Writer(Vec::with_capacity(64));
         match self {
-            Record::Accepted(t) => {
-                w.0.extend([b'T', t.frontend, u8::from(t.wants_receipt)]);
-                w.num(t.number).num(t.destination).num(t.deadline.0);
-                w.text(&t.request_id)
-                    .text(&t.class)
-                    .text(&t.tenant)
-                    .text(&t.idempotency_key)
-                    .text(&t.frontend_note)
-                    .bytes(&t.body);
-                // Behind all that older programs read.
-                if let Some(class) = &t.recorded_class {
-                    class.write(&mut w);
+            Record::Accepted(message) => {
+                writer.0.extend([b'T', message.frontend, u8::from(message.wants_receipt)]);
+                writer.num(message.number).num(message.destination).num(message.deadline.0);
+                writer
+                    .text(&message.request_id)
+                    .text(&message.class)
+                    .text(&message.tenant)
+                    .text(&message.idempotency_key)
+                    .text(&message.frontend_note)
+                    .bytes(&message.body);
+                // The class settings follow all fields that older versions read, so that these can still read
+                // the record.
+                if let Some(class) = &message.recorded_class {
+                    class.write(&mut writer);
                 }
             }
-            Record::Attempt { number: n, attempt, endpoint, zone, at } => {
-                w.0.push(b'A');
-                w.num(*n).num(at.0).text(endpoint).text(zone).num(u64::from(*attempt));
+            Record::Attempt { number, attempt, endpoint, zone, at } => {
+                writer.0.push(b'A');
+                writer.num(*number).num(at.0).text(endpoint).text(zone).num(u64::from(*attempt));
             }
-            Record::Outcome { number: n, attempt, status: end } => {
-                w.0.extend([b'O', *end as u8]);
-                w.num(*n).num(u64::from(*attempt));
+            Record::Outcome { number, attempt, status } => {
+                writer.0.extend([b'O', *status as u8]);
+                writer.num(*number).num(u64::from(*attempt));
             }
-            Record::AttemptHistory { number: n, attempts, first_possible_run: maybe_ran } => {
-                w.0.extend([b'P', u8::from(maybe_ran.is_some())]);
-                let (at, zone) = maybe_ran.clone().unwrap_or_default();
-                w.num(*n).num(u64::from(*attempts)).num(at.0).text(&zone);
+            Record::AttemptHistory { number, attempts, first_possible_run } => {
+                writer.0.extend([b'P', u8::from(first_possible_run.is_some())]);
+                let (at, zone) = first_possible_run.clone().unwrap_or_default();
+                writer.num(*number).num(u64::from(*attempts)).num(at.0).text(&zone);
             }
-            Record::FinalStatus { number: n, status: end } => {
-                let (state, wait) = match end {
+            Record::FinalStatus { number, status } => {
+                let (code, retry_after_us) = match status {
                     FinalStatus::Failed => (0, 0),
                     FinalStatus::Returned(None) => (1, 0),
-                    FinalStatus::Returned(Some(w)) => (2, w.0),
+                    FinalStatus::Returned(Some(retry_after)) => (2, retry_after.0),
                     FinalStatus::Delivered => (3, 0),
                 };
-                w.0.extend([b'G', state]);
-                w.num(*n).num(wait);
+                writer.0.extend([b'G', code]);
+                writer.num(*number).num(retry_after_us);
             }
-            Record::Closed(n) => {
-                w.0.push(b'E');
-                w.num(*n);
+            Record::Closed(number) => {
+                writer.0.push(b'E');
+                writer.num(*number);
             }
         }
-        let payload = w.0;
-        out.extend(MARK);
+        let payload = writer.0;
+        out.extend(FRAME_MARKER);
         out.extend((payload.len() as u32).to_le_bytes());
         out.extend(crc32fast::hash(&payload).to_le_bytes());
         out.extend(payload);
     }
 
     fn parse(payload: &[u8]) -> Option<Record> {
-        let mut r = Reader(payload);
-        Some(match r.byte()? {
+        let mut reader = Reader(payload);
+        Some(match reader.byte()? {
             b'T' => {
-                let taken = AcceptedMessage {
-                    frontend: r.byte()?,
-                    wants_receipt: r.byte()? != 0,
-                    number: r.num()?,
-                    destination: r.num()?,
-                    deadline: Micros(r.num()?),
-                    request_id: r.text()?,
-                    class: r.text()?,
+                let accepted = AcceptedMessage {
+                    frontend: reader.byte()?,
+                    wants_receipt: reader.byte()? != 0,
+                    number: reader.num()?,
+                    destination: reader.num()?,
+                    deadline: Micros(reader.num()?),
+                    request_id: reader.text()?,
+                    class: reader.text()?,
                     recorded_class: None,
-                    tenant: r.text()?,
-                    idempotency_key: r.text()?,
-                    frontend_note: r.text()?,
-                    body: r.bytes()?.to_vec(),
+                    tenant: reader.text()?,
+                    idempotency_key: reader.text()?,
+                    frontend_note: reader.text()?,
+                    body: reader.bytes()?.to_vec(),
                 };
-                Record::Accepted(AcceptedMessage { recorded_class: RecordedClass::read(&mut r), ..taken })
+                Record::Accepted(AcceptedMessage {
+                    recorded_class: RecordedClass::read(&mut reader),
+                    ..accepted
+                })
             }
             b'A' => {
-                let (n, at) = (r.num()?, Micros(r.num()?));
-                Record::Attempt { number: n, at, endpoint: r.text()?, zone: r.text()?, attempt: r.attempt() }
+                let (number, at) = (reader.num()?, Micros(reader.num()?));
+                Record::Attempt {
+                    number,
+                    at,
+                    endpoint: reader.text()?,
+                    zone: reader.text()?,
+                    attempt: reader.attempt(),
+                }
             }
             b'O' => {
-                let end = match r.byte()? {
+                let status = match reader.byte()? {
                     0 => AttemptStatus::NeverRan,
                     2 => AttemptStatus::HeldBack,
                     _ => AttemptStatus::MayHaveRun,
                 };
-                Record::Outcome { number: r.num()?, status: end, attempt: r.attempt() }
+                Record::Outcome { number: reader.num()?, status, attempt: reader.attempt() }
             }
             b'P' => {
-                let ran = r.byte()? != 0;
-                let (n, attempts, at) = (r.num()?, r.num()? as u32, Micros(r.num()?));
-                let zone = r.text()?;
-                Record::AttemptHistory { number: n, attempts, first_possible_run: ran.then_some((at, zone)) }
+                let may_have_run = reader.byte()? != 0;
+                let (number, attempts, at) = (reader.num()?, reader.num()? as u32, Micros(reader.num()?));
+                let zone = reader.text()?;
+                Record::AttemptHistory {
+                    number,
+                    attempts,
+                    first_possible_run: may_have_run.then_some((at, zone)),
+                }
             }
             b'G' => {
-                let (state, n, wait) = (r.byte()?, r.num()?, Micros(r.num()?));
-                let end = match state {
+                let (code, number, retry_after) = (reader.byte()?, reader.num()?, Micros(reader.num()?));
+                let status = match code {
                     0 => FinalStatus::Failed,
                     1 => FinalStatus::Returned(None),
                     3 => FinalStatus::Delivered,
-                    _ => FinalStatus::Returned(Some(wait)),
+                    _ => FinalStatus::Returned(Some(retry_after)),
                 };
-                Record::FinalStatus { number: n, status: end }
+                Record::FinalStatus { number, status }
             }
-            b'E' => Record::Closed(r.num()?),
+            b'E' => Record::Closed(reader.num()?),
             _ => return None,
         })
     }
 }
 
-/// What a log held.
+/// The content of a log.
 #[derive(Debug, Default)]
 pub struct LogScan {
-    /// The records that are whole.
+    /// The intact records.
     pub records: Vec<Record>,
-    /// Bytes that belong to none.
+    /// Number of bytes that belong to no intact record.
     pub damaged_bytes: usize,
 }
 
-fn frame(bytes: &[u8]) -> Option<(Record, usize)> {
-    let mut r = Reader(bytes);
-    if r.take(2)? != MARK {
+/// Reads the frame at the start of these bytes. Returns its record and its length.
+fn read_frame(bytes: &[u8]) -> Option<(Record, usize)> {
+    let mut reader = Reader(bytes);
+    if reader.take(2)? != FRAME_MARKER {
         return None;
     }
-    let n = u32::from_le_bytes(r.take(4)?.try_into().ok()?) as usize;
-    let sum = u32::from_le_bytes(r.take(4)?.try_into().ok()?);
-    let payload = r.take(n).filter(|_| n <= LONGEST)?;
-    if crc32fast::hash(payload) != sum {
+    let payload_len = u32::from_le_bytes(reader.take(4)?.try_into().ok()?) as usize;
+    let checksum = u32::from_le_bytes(reader.take(4)?.try_into().ok()?);
+    let payload = reader.take(payload_len).filter(|_| payload_len <= MAX_PAYLOAD_BYTES)?;
+    if crc32fast::hash(payload) != checksum {
         return None;
     }
-    Some((Record::parse(payload)?, HEAD + n))
+    Some((Record::parse(payload)?, FRAME_HEADER_BYTES + payload_len))
 }
 
-/// Reads a log. After damage it goes on at the next frame that is whole: a process killed in the middle of a
-/// write leaves a torn tail, and a bad sector must not take what stands behind it along.
+/// Reads a log. After damage it continues at the next intact frame: a process that is killed during a write
+/// leaves a torn tail, and a bad sector must not make the records behind it unreadable.
 pub fn scan_log(bytes: &[u8]) -> LogScan {
-    let (mut scan, mut at) = (LogScan::default(), 0);
-    while at < bytes.len() {
-        if let Some((record, n)) = frame(&bytes[at..]) {
+    let (mut scan, mut offset) = (LogScan::default(), 0);
+    while offset < bytes.len() {
+        if let Some((record, frame_len)) = read_frame(&bytes[offset..]) {
             scan.records.push(record);
-            at += n;
+            offset += frame_len;
         } else {
             scan.damaged_bytes += 1;
-            at += 1;
+            offset += 1;
         }
     }
     scan
--- a/src/core/recovery.rs
+++ b/src/core/recovery.rs
@@ -1,26 +1,26 @@
-//! From the records of an earlier process to what is still owed.
+//! Recovers the open messages from the records of an earlier process.
 
 use super::record::{AcceptedMessage, AttemptStatus, FinalStatus, Record};
 use crate::interface::Micros;
 use std::collections::BTreeMap;
 
-/// A request that is not over, and what was done with it.
+/// A message that has not been closed, and its attempts so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OpenMessage {
-    /// As it was taken on.
+    /// The message as it was accepted.
     pub accepted: AcceptedMessage,
-    /// Attempts made.
+    /// Number of attempts made.
     pub attempts: u32,
-    /// The attempts that are out, by their numbers: when, in which zone.
+    /// Send time and zone of each attempt in flight, by the index of the attempt.
     pub in_flight: BTreeMap<u32, (Micros, String)>,
-    /// The first attempt that may have run.
+    /// Send time and zone of the first attempt that may have run.
     pub first_possible_run: Option<(Micros, String)>,
-    /// Given up by the module; its client is still to be told.
+    /// The final status, once it is decided; it still has to be reported to the client.
     pub final_status: Option<FinalStatus>,
 }
 
 impl OpenMessage {
-    /// Takes note of a record about it. False once nothing is owed.
+    /// Applies a record about this message. Returns false if the record closes the message.
     pub fn apply(&mut self, record: &Record) -> bool {
         match record {
             Record::Accepted(_) => {}
@@ -28,65 +28,66 @@
                 self.attempts += 1;
                 self.in_flight.insert(*attempt, (*at, zone.clone()));
             }
-            Record::Outcome { attempt, status: end, .. } => {
-                let out = self.in_flight.remove(attempt);
+            Record::Outcome { attempt, status, .. } => {
+                let ended = self.in_flight.remove(attempt);
                 self.attempts -=
-                    u32::from(out.is_some() && *end == AttemptStatus::HeldBack).min(self.attempts);
-                let out = out.filter(|_| *end == AttemptStatus::MayHaveRun);
-                // A copy may end before the attempt that went ahead of it: the earlier of both counts.
+                    u32::from(ended.is_some() && *status == AttemptStatus::HeldBack).min(self.attempts);
+                let may_have_run = ended.filter(|_| *status == AttemptStatus::MayHaveRun);
+                // A copy may end before the attempt that was sent ahead of it: the earlier send of both
+                // counts.
                 self.first_possible_run =
-                    self.first_possible_run.take().into_iter().chain(out).min_by_key(|m| m.0);
+                    self.first_possible_run.take().into_iter().chain(may_have_run).min_by_key(|run| run.0);
             }
-            Record::AttemptHistory { attempts, first_possible_run: maybe_ran, .. } => {
-                (self.attempts, self.first_possible_run) = (*attempts, maybe_ran.clone());
+            Record::AttemptHistory { attempts, first_possible_run, .. } => {
+                (self.attempts, self.first_possible_run) = (*attempts, first_possible_run.clone());
             }
-            Record::FinalStatus { status: end, .. } => self.final_status = Some(*end),
+            Record::FinalStatus { status, .. } => self.final_status = Some(*status),
             Record::Closed(_) => return false,
         }
         true
     }
 
-    /// The records that say all this in a new log.
+    /// The records from which a new log can recover this message.
     pub fn records(&self) -> Vec<Record> {
-        let n = self.accepted.number;
-        let mut all = vec![Record::Accepted(self.accepted.clone())];
-        // The attempts that are out are written as such, not counted twice.
+        let number = self.accepted.number;
+        let mut records = vec![Record::Accepted(self.accepted.clone())];
+        // Attempts in flight have records of their own and are not counted twice.
         let attempts = self.attempts.saturating_sub(self.in_flight.len() as u32);
         if attempts > 0 || self.first_possible_run.is_some() {
-            all.push(Record::AttemptHistory {
-                number: n,
+            records.push(Record::AttemptHistory {
+                number,
                 attempts,
                 first_possible_run: self.first_possible_run.clone(),
             });
         }
         for (attempt, (at, zone)) in self.in_flight.clone() {
-            all.push(Record::Attempt { number: n, attempt, endpoint: String::new(), zone, at });
+            records.push(Record::Attempt { number, attempt, endpoint: String::new(), zone, at });
         }
-        all.extend(self.final_status.map(|end| Record::FinalStatus { number: n, status: end }));
-        all
+        records.extend(self.final_status.map(|status| Record::FinalStatus { number, status }));
+        records
     }
 }
 
-/// What is still owed after these records. An attempt without an outcome was out when the process died: its
-/// call may have run, so it counts as one that did.
+/// The messages that are open after these records, by number. An attempt without an outcome was in flight
+/// when the process died: its call may have run, so it counts as one that may have run.
 pub fn recover(records: Vec<Record>) -> BTreeMap<u64, OpenMessage> {
-    let mut owed: BTreeMap<u64, OpenMessage> = BTreeMap::new();
+    let mut open: BTreeMap<u64, OpenMessage> = BTreeMap::new();
     for record in records {
-        let n = record.number();
-        if let Record::Accepted(taken) = record {
-            owed.insert(n, OpenMessage { accepted: taken, ..OpenMessage::default() });
-        } else if owed.get_mut(&n).is_some_and(|o| !o.apply(&record)) {
-            owed.remove(&n);
+        let number = record.number();
+        if let Record::Accepted(accepted) = record {
+            open.insert(number, OpenMessage { accepted, ..OpenMessage::default() });
+        } else if open.get_mut(&number).is_some_and(|message| !message.apply(&record)) {
+            open.remove(&number);
         }
     }
-    for o in owed.values_mut() {
-        while let Some(attempt) = o.in_flight.keys().next().copied() {
-            o.apply(&Record::Outcome {
-                number: o.accepted.number,
+    for message in open.values_mut() {
+        while let Some(attempt) = message.in_flight.keys().next().copied() {
+            message.apply(&Record::Outcome {
+                number: message.accepted.number,
                 attempt,
                 status: AttemptStatus::MayHaveRun,
             });
         }
     }
-    owed
+    open
 }
