--- a/tower/src/lib.rs
+++ b/tower/src/lib.rs
@@ -1,8 +1,9 @@
-//! The module as a layer for tower: it holds requests, sends each when and where its destination takes it,
-//! tries again where that is harmless, and ends it in time.
+//! The policy engine as a tower layer. It holds requests, sends each when and where its destination can take
+//! it, retries it where that is safe, and ends it before its deadline.
 //!
-//! The inner service gets a [`Call`]: the request and the receiver that the module chose. A [`Judge`] says what
-//! an answer means. Any runtime will do; timers are async-io's.
+//! The inner service gets a [`Call`]: the request and the receiver that the policy engine chose. A
+//! [`Classify`] gives the meaning of a result. The layer works with any async runtime; its timers are those
+//! of async-io.
 
 use async_channel::{Sender, bounded};
 use async_io::Timer;
@@ -18,221 +19,229 @@
 use tower_layer::Layer;
 use tower_service::Service;
 
-/// What the module needs to know of a request.
-pub trait Route {
-    /// Where it goes.
+/// What the policy engine needs to know about a request.
+pub trait RequestInfo {
+    /// The destination that the request must be delivered to.
     fn destination(&self) -> DestinationId;
-    /// Its class, by its place in the settings.
+    /// Its class: an index into [`Settings::classes`].
     fn class(&self) -> ClassId;
-    /// Whose it is.
+    /// Its tenant, if any.
     fn tenant(&self) -> Option<TenantId> {
         None
     }
-    /// How long it may still be delivered; none for as long as its class allows.
-    fn left(&self) -> Option<Duration> {
+    /// Time to its deadline; none for the time that its class allows.
+    fn time_left(&self) -> Option<Duration> {
         None
     }
 }
 
-/// Says what became of a call.
-pub trait Judge<T, E> {
-    /// [`Verdict::Delivered`] ends the request; what may have run is not repeated where that does harm.
+/// Decides how a call ended, from its result.
+pub trait Classify<T, E> {
+    /// How the call ended. [`Verdict::Delivered`] ends the request. A request that may have run is not repeated
+    /// where a repeat could take effect again.
     fn verdict(&self, result: &Result<T, E>) -> Verdict;
 }
 
-impl<T, E, F: Fn(&Result<T, E>) -> Verdict> Judge<T, E> for F {
+impl<T, E, F: Fn(&Result<T, E>) -> Verdict> Classify<T, E> for F {
     fn verdict(&self, result: &Result<T, E>) -> Verdict {
         self(result)
     }
 }
 
-/// A request, and where the module sends it.
+/// A request and the receiver to which the policy engine sends it.
 #[derive(Clone, Debug)]
 pub struct Call<R> {
-    /// As it was handed in.
+    /// The request as it was submitted.
     pub request: R,
-    /// The endpoint.
+    /// The receiver to call.
     pub receiver: ReceiverId,
 }
 
-/// A request that ended undelivered.
+/// Why a request was not delivered.
 #[derive(Debug)]
-pub enum Ended<T, E> {
-    /// Handing it in again is harmless, best after the wait.
+pub enum DeliveryError<T, E> {
+    /// The request was not delivered; submitting it again is safe, best after this span.
     Refused(Option<Duration>),
-    /// Nothing is promised; what its last call came back with, if it came back.
+    /// The request failed and may or may not have run. Holds the result of its last call, if there is one.
     Failed(Option<Result<T, E>>),
 }
 
-enum Order {
+/// A message from the shared state to the future of a request.
+enum Command {
     Call {
         receiver: ReceiverId,
-        patience: Micros,
+        timeout: Micros,
     },
     Refused(Option<Duration>),
     Failed,
-    /// Something is due earlier than it was.
-    Look,
+    /// The next timer is due earlier than before, so the wait for it must be restarted.
+    TimerChanged,
 }
 
-struct Inner {
+struct State {
     policy: PolicyEngine,
-    most: usize,
-    next: u64,
-    orders: BTreeMap<u64, Sender<Order>>,
+    max_held: usize,
+    last_id: u64,
+    commands: BTreeMap<u64, Sender<Command>>,
+    /// Attempts made for each request.
     attempts: BTreeMap<u64, u32>,
-    wakes: BTreeSet<Micros>,
+    /// Times of the timers that the policy engine requested.
+    timers: BTreeSet<Micros>,
 }
 
 struct Shared {
     started: Instant,
-    /// How long each class may take.
-    give_up: Vec<Micros>,
-    inner: Mutex<Inner>,
+    /// For each class, the span from submission to deadline.
+    give_up_after: Vec<Micros>,
+    state: Mutex<State>,
 }
 
 impl Shared {
     fn now(&self) -> Micros {
         Micros(self.started.elapsed().as_micros() as u64)
     }
-    fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
-    /// Events of one moment, then a decision.
-    fn tell(&self, events: impl IntoIterator<Item = Event>) {
+    /// Passes events of the same moment to the policy engine, lets it decide, and carries out its actions.
+    fn handle_events(&self, events: impl IntoIterator<Item = Event>) {
         let now = self.now();
-        let mut inner = self.lock();
-        let before = inner.wakes.first().copied();
+        let mut state = self.lock();
+        let earliest_before = state.timers.first().copied();
         let mut actions = Vec::new();
-        while inner.wakes.first().is_some_and(|t| *t <= now) {
-            inner.wakes.pop_first();
-            inner.policy.on_event(now, Event::TimerFired, &mut actions);
+        while state.timers.first().is_some_and(|at| *at <= now) {
+            state.timers.pop_first();
+            state.policy.on_event(now, Event::TimerFired, &mut actions);
         }
         for event in events {
-            inner.policy.on_event(now, event, &mut actions);
+            state.policy.on_event(now, event, &mut actions);
         }
-        inner.policy.decide(now, &mut actions);
+        state.policy.decide(now, &mut actions);
         for action in actions {
-            inner.carry_out(now, action);
+            state.carry_out(now, action);
         }
-        if inner.wakes.first().is_some_and(|t| before.is_none_or(|b| *t < b)) {
-            inner.orders.values().for_each(|o| drop(o.try_send(Order::Look)));
+        if state.timers.first().is_some_and(|at| earliest_before.is_none_or(|earlier| *at < earlier)) {
+            state.commands.values().for_each(|commands| drop(commands.try_send(Command::TimerChanged)));
         }
     }
-    async fn due(&self) {
-        let due = self.lock().wakes.first().copied();
-        match due {
+    /// Returns when the next timer is due.
+    async fn next_timer(&self) {
+        let next = self.lock().timers.first().copied();
+        match next {
             Some(at) => drop(Timer::after(Duration::from_micros(at.since(self.now()).0)).await),
             None => future::pending().await,
         }
     }
-    /// Waits for the work, and meanwhile wakes the module when it asked for that.
-    async fn drive<T>(&self, work: impl Future<Output = T>) -> T {
+    /// Waits for `work` and meanwhile reports due timers to the policy engine.
+    async fn run_with_timers<T>(&self, work: impl Future<Output = T>) -> T {
         let mut work = std::pin::pin!(work);
         loop {
-            let due = async {
-                self.due().await;
+            let timer = async {
+                self.next_timer().await;
                 None
             };
-            if let Some(done) = future::or(async { Some(work.as_mut().await) }, due).await {
+            if let Some(done) = future::or(async { Some(work.as_mut().await) }, timer).await {
                 return done;
             }
-            self.tell([]);
+            self.handle_events([]);
         }
     }
 }
 
-impl Inner {
+impl State {
     fn carry_out(&mut self, now: Micros, action: Action) {
-        let (id, order) = match action {
-            Action::Send { id, receiver, timeout: patience } => {
+        let (id, command) = match action {
+            Action::Send { id, receiver, timeout } => {
                 *self.attempts.entry(id.0).or_insert(0) += 1;
-                (id, Order::Call { receiver, patience })
+                (id, Command::Call { receiver, timeout })
             }
             Action::Refuse { id, retry_after } => {
-                (id, Order::Refused(retry_after.map(|w| Duration::from_micros(w.0))))
+                (id, Command::Refused(retry_after.map(|span| Duration::from_micros(span.0))))
             }
-            Action::Fail(id) => (id, Order::Failed),
+            Action::Fail(id) => (id, Command::Failed),
             Action::SetTimer(span) => {
-                self.wakes.insert(now.plus(span));
+                self.timers.insert(now.plus(span));
                 return;
             }
-            // The list is the caller's to give, connections are the inner service's, senders share nothing.
+            // The caller provides the list, the inner service manages connections, and senders exchange no
+            // hints here.
             Action::CancelAttempt { .. }
             | Action::RequestList
             | Action::CloseIdleConnections(_)
             | Action::SendPeerHint(_)
             | Action::LogUnhealthy { .. } => return,
         };
-        if let Some(orders) = self.orders.get(&id.0) {
-            let _ = orders.try_send(order);
+        if let Some(commands) = self.commands.get(&id.0) {
+            let _ = commands.try_send(command);
         }
     }
 }
 
-/// Makes [`Pace`] services that decide together.
+/// Makes [`Pace`] services that share one policy engine.
 #[derive(Clone)]
-pub struct PaceLayer<J> {
+pub struct PaceLayer<C> {
     shared: Arc<Shared>,
-    judge: J,
+    classify: C,
 }
 
-impl<J> PaceLayer<J> {
-    /// The list may be empty at first; see [`PaceLayer::list`].
-    pub fn new(settings: Settings, list: Vec<ListEntry>, seed: u64, judge: J) -> PaceLayer<J> {
-        let most = settings.max_held as usize;
-        let give_up = settings.classes.iter().map(|c| c.give_up_after).collect();
-        // A request is one future here, which makes one call at a time and ends it by itself.
+impl<C> PaceLayer<C> {
+    /// A layer with its own policy engine. The list may be empty at first; see [`PaceLayer::set_list`].
+    pub fn new(settings: Settings, list: Vec<ListEntry>, seed: u64, classify: C) -> PaceLayer<C> {
+        let max_held = settings.max_held as usize;
+        let give_up_after = settings.classes.iter().map(|class| class.give_up_after).collect();
+        // Each request is a single future here, which makes one call at a time and ends that call itself.
         let settings =
             Settings { subscribe_to_list: false, second_copies: false, allow_cancel: false, ..settings };
-        let inner = Inner {
+        let state = State {
             policy: PolicyEngine::new(settings, seed),
-            most,
-            next: 0,
-            orders: BTreeMap::new(),
+            max_held,
+            last_id: 0,
+            commands: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            wakes: BTreeSet::new(),
+            timers: BTreeSet::new(),
         };
-        let shared = Shared { started: Instant::now(), give_up, inner: Mutex::new(inner) };
-        let layer = PaceLayer { shared: Arc::new(shared), judge };
-        layer.list(list);
+        let shared = Shared { started: Instant::now(), give_up_after, state: Mutex::new(state) };
+        let layer = PaceLayer { shared: Arc::new(shared), classify };
+        layer.set_list(list);
         layer
     }
-    /// The whole list, as it is now.
-    pub fn list(&self, list: Vec<ListEntry>) {
-        self.shared.tell([Event::FullList(list)]);
+    /// Replaces the complete list of receivers.
+    pub fn set_list(&self, list: Vec<ListEntry>) {
+        self.shared.handle_events([Event::FullList(list)]);
     }
 }
 
-impl<S, J: Clone> Layer<S> for PaceLayer<J> {
-    type Service = Pace<S, J>;
-    fn layer(&self, inner: S) -> Pace<S, J> {
-        Pace { inner, judge: self.judge.clone(), shared: self.shared.clone() }
+impl<S, C: Clone> Layer<S> for PaceLayer<C> {
+    type Service = Pace<S, C>;
+    fn layer(&self, inner: S) -> Pace<S, C> {
+        Pace { inner, classify: self.classify.clone(), shared: self.shared.clone() }
     }
 }
 
-/// A service whose calls the module paces.
+/// A service whose calls the policy engine paces.
 #[derive(Clone)]
-pub struct Pace<S, J> {
+pub struct Pace<S, C> {
     inner: S,
-    judge: J,
+    classify: C,
     shared: Arc<Shared>,
 }
 
-/// A future that is dropped takes its request back; a call that was out counts as called off.
-struct Held {
+/// Withdraws the request when its future is dropped; a call in flight then counts as cancelled.
+struct PendingRequest {
     shared: Arc<Shared>,
     id: u64,
-    out: Option<(ReceiverId, Micros)>,
+    /// Receiver and send time of the call in flight.
+    in_flight: Option<(ReceiverId, Micros)>,
 }
 
-impl Held {
-    fn outcome(&mut self, verdict: Verdict) -> Option<Event> {
-        let (receiver, sent) = self.out.take()?;
-        let attempt = self.shared.lock().attempts.get(&self.id).map_or(0, |n| n - 1);
+impl PendingRequest {
+    /// Ends the call in flight, if there is one, and returns the event for the policy engine.
+    fn end_call(&mut self, verdict: Verdict) -> Option<Event> {
+        let (receiver, sent) = self.in_flight.take()?;
+        let attempt = self.shared.lock().attempts.get(&self.id).map_or(0, |made| made - 1);
         let elapsed = self.shared.now().since(sent);
         let (id, finished) = (MessageId(self.id), verdict == Verdict::Delivered);
-        let (limit, left) = (None, None);
+        let (limit_per_s, remaining_share) = (None, None);
         Some(Event::Outcome(Outcome {
             id,
             attempt,
@@ -240,90 +249,92 @@
             verdict,
             elapsed,
             finished,
-            limit_per_s: limit,
-            remaining_share: left,
+            limit_per_s,
+            remaining_share,
         }))
     }
 }
 
-impl Drop for Held {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
-        let cancelled = self.outcome(Verdict::Cancelled);
+        let cancelled = self.end_call(Verdict::Cancelled);
         {
-            let mut inner = self.shared.lock();
-            inner.orders.remove(&self.id);
-            inner.attempts.remove(&self.id);
+            let mut state = self.shared.lock();
+            state.commands.remove(&self.id);
+            state.attempts.remove(&self.id);
         }
-        self.shared.tell([Event::Withdrawn(MessageId(self.id))].into_iter().chain(cancelled));
+        self.shared.handle_events([Event::Withdrawn(MessageId(self.id))].into_iter().chain(cancelled));
     }
 }
 
-impl<S, R, J> Service<R> for Pace<S, J>
+impl<S, R, C> Service<R> for Pace<S, C>
 where
     S: Service<Call<R>> + Clone + Send + 'static,
     S::Future: Send,
     S::Response: Send + 'static,
     S::Error: Send + 'static,
-    R: Route + Clone + Send + 'static,
-    J: Judge<S::Response, S::Error> + Clone + Send + 'static,
+    R: RequestInfo + Clone + Send + 'static,
+    C: Classify<S::Response, S::Error> + Clone + Send + 'static,
 {
     type Response = S::Response;
-    type Error = Ended<S::Response, S::Error>;
+    type Error = DeliveryError<S::Response, S::Error>;
     type Future = Pin<Box<dyn Future<Output = Result<S::Response, Self::Error>> + Send>>;
 
-    /// Always: what cannot go now is held, or refused, by its own future.
+    /// Always ready: the future of a request that cannot be sent yet holds it, or ends it as refused.
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), Self::Error>> {
         Poll::Ready(Ok(()))
     }
 
     fn call(&mut self, request: R) -> Self::Future {
-        Box::pin(run(self.inner.clone(), self.judge.clone(), self.shared.clone(), request))
+        Box::pin(run(self.inner.clone(), self.classify.clone(), self.shared.clone(), request))
     }
 }
 
-async fn run<S, R, J>(
-    inner: S, judge: J, shared: Arc<Shared>, request: R,
-) -> Result<S::Response, Ended<S::Response, S::Error>>
+async fn run<S, R, C>(
+    inner: S, classify: C, shared: Arc<Shared>, request: R,
+) -> Result<S::Response, DeliveryError<S::Response, S::Error>>
 where
     S: Service<Call<R>> + Clone,
-    R: Route + Clone,
-    J: Judge<S::Response, S::Error>,
+    R: RequestInfo + Clone,
+    C: Classify<S::Response, S::Error>,
 {
-    let (orders, mailbox) = bounded(8);
+    let (sender, commands) = bounded(8);
     let id = {
-        let mut inner = shared.lock();
-        if inner.orders.len() >= inner.most {
-            return Err(Ended::Refused(None));
+        let mut state = shared.lock();
+        if state.commands.len() >= state.max_held {
+            return Err(DeliveryError::Refused(None));
         }
-        inner.next += 1;
-        let id = inner.next;
-        inner.orders.insert(id, orders);
+        state.last_id += 1;
+        let id = state.last_id;
+        state.commands.insert(id, sender);
         id
     };
-    let mut held = Held { shared: shared.clone(), id, out: None };
-    let most = shared.give_up.get(request.class().0).copied().unwrap_or_default();
-    let left = request.left().map_or(most, |d| Micros(d.as_micros() as u64).min(most));
-    shared.tell([Event::Submit(Message {
+    let mut pending = PendingRequest { shared: shared.clone(), id, in_flight: None };
+    let give_up_after = shared.give_up_after.get(request.class().0).copied().unwrap_or_default();
+    let time_left =
+        request.time_left().map_or(give_up_after, |left| Micros(left.as_micros() as u64).min(give_up_after));
+    shared.handle_events([Event::Submit(Message {
         id: MessageId(id),
         class: request.class(),
         tenant: request.tenant(),
         ordering_key: None,
         destination: request.destination(),
-        time_left: left,
+        time_left,
     })]);
-    let mut last = None;
+    let mut last_result = None;
     loop {
-        match shared.drive(mailbox.recv()).await {
-            Ok(Order::Call { receiver, patience }) => {
-                held.out = Some((receiver, shared.now()));
+        match shared.run_with_timers(commands.recv()).await {
+            Ok(Command::Call { receiver, timeout }) => {
+                pending.in_flight = Some((receiver, shared.now()));
                 let mut service = inner.clone();
                 let call = Call { request: request.clone(), receiver };
-                let attempt = shared.lock().attempts.get(&id).map_or(0, |n| n - 1);
+                let attempt = shared.lock().attempts.get(&id).map_or(0, |made| made - 1);
                 let work = async {
-                    if let Err(e) = poll_fn(|cx| service.poll_ready(cx)).await {
-                        return Some(Err(e));
+                    if let Err(error) = poll_fn(|cx| service.poll_ready(cx)).await {
+                        return Some(Err(error));
                     }
-                    // The inner service may have made it wait: a wait may have been told meanwhile, a time be up.
+                    // The call may have waited for the inner service, and meanwhile a retry-after may have
+                    // come in or the time to send may have passed.
                     match shared.lock().policy.recheck_send(shared.now(), MessageId(id), attempt, receiver) {
                         SendRecheck::Allowed => {}
                         SendRecheck::WithinRetryAfter
@@ -332,27 +343,27 @@
                     }
                     Some(service.call(call).await)
                 };
-                let in_time = async {
-                    Timer::after(Duration::from_micros(patience.0)).await;
+                let time_out = async {
+                    Timer::after(Duration::from_micros(timeout.0)).await;
                     Err(Verdict::TimedOut)
                 };
                 let work = async { work.await.ok_or(Verdict::HeldBack) };
-                let (verdict, result) = match shared.drive(future::or(work, in_time)).await {
-                    Ok(result) => (judge.verdict(&result), Some(result)),
+                let (verdict, result) = match shared.run_with_timers(future::or(work, time_out)).await {
+                    Ok(result) => (classify.verdict(&result), Some(result)),
                     Err(verdict) => (verdict, None),
                 };
-                let outcome = held.outcome(verdict);
-                shared.tell(outcome);
+                let outcome = pending.end_call(verdict);
+                shared.handle_events(outcome);
                 match (verdict, result) {
-                    (Verdict::Delivered, Some(Ok(answer))) => return Ok(answer),
-                    (Verdict::Delivered, other) => return Err(Ended::Failed(other)),
+                    (Verdict::Delivered, Some(Ok(response))) => return Ok(response),
+                    (Verdict::Delivered, other) => return Err(DeliveryError::Failed(other)),
                     (Verdict::HeldBack, None) => {}
-                    (_, other) => last = other,
+                    (_, other) => last_result = other,
                 }
             }
-            Ok(Order::Refused(wait)) => return Err(Ended::Refused(wait)),
-            Ok(Order::Failed) | Err(_) => return Err(Ended::Failed(last)),
-            Ok(Order::Look) => {}
+            Ok(Command::Refused(retry_after)) => return Err(DeliveryError::Refused(retry_after)),
+            Ok(Command::Failed) | Err(_) => return Err(DeliveryError::Failed(last_result)),
+            Ok(Command::TimerChanged) => {}
         }
     }
 }
--- a/tower/tests/layer.rs
+++ b/tower/tests/layer.rs
@@ -1,8 +1,8 @@
-//! The layer round a service that answers as it is told to.
+//! Tests the layer around a service whose responses are scripted.
 
 use futures_lite::future::{self, block_on};
 use onyxrock::interface::*;
-use onyxrock_tower::{Call, Ended, PaceLayer, Route};
+use onyxrock_tower::{Call, DeliveryError, PaceLayer, RequestInfo};
 use std::collections::VecDeque;
 use std::future::Future;
 use std::pin::Pin;
@@ -13,40 +13,40 @@
 use tower_service::Service;
 
 #[derive(Clone)]
-struct Ask {
+struct TestRequest {
     class: usize,
-    left: Duration,
+    time_left: Duration,
 }
 
-impl Route for Ask {
+impl RequestInfo for TestRequest {
     fn destination(&self) -> DestinationId {
         DestinationId(1)
     }
     fn class(&self) -> ClassId {
         ClassId(self.class)
     }
-    fn left(&self) -> Option<Duration> {
-        Some(self.left)
+    fn time_left(&self) -> Option<Duration> {
+        Some(self.time_left)
     }
 }
 
-/// Gives out these answers in turn, then hangs. Notes where each call went.
+/// Gives these responses in turn and never responds after the last one. Records the receiver of each call.
 #[derive(Clone, Default)]
 struct Server {
-    answers: Arc<Mutex<VecDeque<u16>>>,
+    responses: Arc<Mutex<VecDeque<u16>>>,
     calls: Arc<Mutex<Vec<u64>>>,
 }
 
-impl Service<Call<Ask>> for Server {
+impl Service<Call<TestRequest>> for Server {
     type Response = u16;
     type Error = ();
     type Future = Pin<Box<dyn Future<Output = Result<u16, ()>> + Send>>;
     fn poll_ready(&mut self, _: &mut Context<'_>) -> Poll<Result<(), ()>> {
         Poll::Ready(Ok(()))
     }
-    fn call(&mut self, call: Call<Ask>) -> Self::Future {
+    fn call(&mut self, call: Call<TestRequest>) -> Self::Future {
         self.calls.lock().unwrap().push(call.receiver.0);
-        match self.answers.lock().unwrap().pop_front() {
+        match self.responses.lock().unwrap().pop_front() {
             Some(status) => Box::pin(async move { Ok(status) }),
             None => Box::pin(future::pending()),
         }
@@ -95,85 +95,94 @@
     }
 }
 
-fn run(answers: &[u16], class: usize, left_ms: u64) -> (Result<u16, Ended<u16, ()>>, Vec<u64>) {
+fn run(
+    responses: &[u16], class: usize, time_left_ms: u64,
+) -> (Result<u16, DeliveryError<u16, ()>>, Vec<u64>) {
     let server = Server::default();
-    server.answers.lock().unwrap().extend(answers);
+    server.responses.lock().unwrap().extend(responses);
     let layer = PaceLayer::new(settings(), vec![entry()], 3, verdict);
-    let ask = Ask { class, left: Duration::from_millis(left_ms) };
-    let got = block_on(layer.layer(server.clone()).call(ask));
+    let request = TestRequest { class, time_left: Duration::from_millis(time_left_ms) };
+    let result = block_on(layer.layer(server.clone()).call(request));
     let calls = server.calls.lock().unwrap().clone();
-    (got, calls)
+    (result, calls)
 }
 
 #[test]
-fn a_refused_call_goes_again_and_is_delivered() {
-    let (got, calls) = run(&[503, 200], SAFE, 5000);
-    assert_eq!((got.unwrap(), calls), (200, vec![7, 7]));
+fn a_refused_call_is_retried_and_delivered() {
+    let (result, calls) = run(&[503, 200], SAFE, 5000);
+    assert_eq!((result.unwrap(), calls), (200, vec![7, 7]));
 }
 
 #[test]
-fn what_may_have_run_is_not_repeated_where_that_does_harm() {
-    let (got, calls) = run(&[500, 200], UNSAFE, 5000);
-    assert!(matches!(got, Err(Ended::Failed(Some(Ok(500))))));
+fn an_unsafe_request_that_may_have_run_is_not_retried() {
+    let (result, calls) = run(&[500, 200], UNSAFE, 5000);
+    assert!(matches!(result, Err(DeliveryError::Failed(Some(Ok(500))))));
     assert_eq!(calls, [7]);
 }
 
 #[test]
-fn a_call_that_hangs_ends_in_time() {
-    let (got, calls) = run(&[], UNSAFE, 300);
-    assert!(matches!(got, Err(Ended::Failed(None))));
+fn a_call_without_a_response_fails_by_the_deadline() {
+    let (result, calls) = run(&[], UNSAFE, 300);
+    assert!(matches!(result, Err(DeliveryError::Failed(None))));
     assert_eq!(calls, [7]);
 }
 
 #[test]
-fn what_never_ran_is_refused_when_its_time_is_up() {
-    let (got, calls) = run(&[503; 3], SAFE, 10_000);
-    assert!(matches!(got, Err(Ended::Refused(_))));
+fn a_request_that_never_ran_ends_as_refused() {
+    let (result, calls) = run(&[503; 3], SAFE, 10_000);
+    assert!(matches!(result, Err(DeliveryError::Refused(_))));
     assert_eq!(calls, [7, 7, 7]);
 }
 
-/// Ready only once what stands before it has answered, as a pool with one place is.
+/// Accepts a second call only after the response to the first, like a pool with a single connection. Records
+/// when it responded to the first call, and when each call began.
 #[derive(Clone)]
-struct OnePlace(Server, Arc<Mutex<Option<Instant>>>, Arc<Mutex<Vec<Instant>>>);
+struct OneSlotServer(Server, Arc<Mutex<Option<Instant>>>, Arc<Mutex<Vec<Instant>>>);
 
-impl Service<Call<Ask>> for OnePlace {
+impl Service<Call<TestRequest>> for OneSlotServer {
     type Response = u16;
     type Error = ();
     type Future = Pin<Box<dyn Future<Output = Result<u16, ()>> + Send>>;
     fn poll_ready(&mut self, cx: &mut Context<'_>) -> Poll<Result<(), ()>> {
-        let answered = self.1.lock().unwrap().is_some();
-        let second = !self.0.calls.lock().unwrap().is_empty();
-        if second && !answered {
+        let has_responded = self.1.lock().unwrap().is_some();
+        let is_second = !self.0.calls.lock().unwrap().is_empty();
+        if is_second && !has_responded {
             cx.waker().wake_by_ref();
             return Poll::Pending;
         }
         Poll::Ready(Ok(()))
     }
-    fn call(&mut self, call: Call<Ask>) -> Self::Future {
-        let (done, answer) = (self.1.clone(), self.0.call(call));
-        let first = done.lock().unwrap().is_none();
+    fn call(&mut self, call: Call<TestRequest>) -> Self::Future {
+        let (first_response, response) = (self.1.clone(), self.0.call(call));
+        let is_first = first_response.lock().unwrap().is_none();
         self.2.lock().unwrap().push(Instant::now());
         Box::pin(async move {
-            if first {
+            if is_first {
                 async_io::Timer::after(Duration::from_millis(100)).await;
-                done.lock().unwrap().get_or_insert_with(Instant::now);
+                first_response.lock().unwrap().get_or_insert_with(Instant::now);
             }
-            answer.await
+            response.await
         })
     }
 }
 
-/// Both are sent at once; the second waits in the inner service while the first is told a wait.
+/// Two calls are sent at once. The second waits for the inner service to become ready, and meanwhile the
+/// response to the first brings a retry-after: the second must not go out before that has passed.
 #[test]
-fn a_call_that_the_inner_service_kept_does_not_leave_within_a_wait() {
-    let server = OnePlace(Server::default(), Arc::default(), Arc::default());
-    server.0.answers.lock().unwrap().extend([429, 200, 200]);
-    // Room for two calls at an endpoint that has proven nothing yet.
+fn a_call_that_waits_for_the_inner_service_respects_a_retry_after() {
+    let server = OneSlotServer(Server::default(), Arc::default(), Arc::default());
+    server.0.responses.lock().unwrap().extend([429, 200, 200]);
+    // With 16 slots, a receiver without any result so far gets two calls at once.
     let layer = PaceLayer::new(Settings { slots: 16, ..settings() }, vec![entry()], 3, verdict);
-    let ask = || layer.layer(server.clone()).call(Ask { class: SAFE, left: Duration::from_secs(10) });
-    let (first, second) = block_on(future::zip(ask(), ask()));
+    let submit =
+        || layer.layer(server.clone()).call(TestRequest { class: SAFE, time_left: Duration::from_secs(10) });
+    let (first, second) = block_on(future::zip(submit(), submit()));
     assert_eq!((first.unwrap(), second.unwrap()), (200, 200));
-    let told = server.1.lock().unwrap().expect("it was told");
-    let after: Vec<_> = server.2.lock().unwrap().iter().skip(1).map(|t| t.duration_since(told)).collect();
-    assert!(after.len() == 2 && after.iter().all(|t| *t >= Duration::from_millis(690)), "{after:?}");
+    let responded = server.1.lock().unwrap().expect("the first call got its response");
+    let delays: Vec<_> =
+        server.2.lock().unwrap().iter().skip(1).map(|began| began.duration_since(responded)).collect();
+    assert!(
+        delays.len() == 2 && delays.iter().all(|delay| *delay >= Duration::from_millis(690)),
+        "{delays:?}"
+    );
 }
