--- a/benchlink/src/main.rs
+++ b/benchlink/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts instances of the onyxrock policy behind a wire of JSON lines on standard input and output.
+//! Runs instances of the onyxrock policy engine behind a protocol of JSON lines on standard input and output.
 
 mod wire;
 
@@ -7,26 +7,27 @@
 
 fn run() -> Result<(), String> {
     let mut host = wire::Host::default();
-    let mut out = BufWriter::new(std::io::stdout().lock());
+    let mut output = BufWriter::new(std::io::stdout().lock());
     for (number, line) in std::io::stdin().lock().split(b'\n').enumerate() {
-        let line = line.map_err(|e| format!("cannot read input: {e}"))?;
+        let line = line.map_err(|error| format!("cannot read input: {error}"))?;
         if line.iter().all(u8::is_ascii_whitespace) {
             continue;
         }
-        let reply = host.reply(&line).map_err(|e| format!("line {}: {e}", number + 1))?;
-        writeln!(out, "{reply}")
-            .and_then(|()| out.flush())
-            .map_err(|e| format!("cannot write a reply: {e}"))?;
+        let reply = host.reply(&line).map_err(|error| format!("line {}: {error}", number + 1))?;
+        writeln!(output, "{reply}")
+            .and_then(|()| output.flush())
+            .map_err(|error| format!("cannot write a reply: {error}"))?;
     }
     Ok(())
 }
 
 fn main() -> ExitCode {
-    std::panic::set_hook(Box::new(|_| {})); // a failure is reported on the wire, see wire.rs
+    // The default hook would print panics; the wire reports them as crashed instances instead, see wire.rs.
+    std::panic::set_hook(Box::new(|_| {}));
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("onyxrock-benchlink: {e}");
+        Err(error) => {
+            eprintln!("onyxrock-benchlink: {error}");
             ExitCode::FAILURE
         }
     }
--- a/benchlink/tests/wire.rs
+++ b/benchlink/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process: replies, errors, and words of the wire.
+//! Tests the adapter as a process: its replies, its errors and the names on its wire.
 
 use serde_json::{Value, json};
 use std::io::Write;
@@ -11,17 +11,17 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    let mut input = child.stdin.take().expect("a pipe");
+    let mut stdin = child.stdin.take().expect("stdin is a pipe");
     for line in lines {
-        // The adapter may have ended over an earlier line.
-        let _ = writeln!(input, "{line}");
+        // The adapter may have exited on an error in an earlier line.
+        let _ = writeln!(stdin, "{line}");
     }
-    drop(input);
-    child.wait_with_output().expect("the adapter ends")
+    drop(stdin);
+    child.wait_with_output().expect("the adapter exits")
 }
 
-fn batch(now: u64, events: Value) -> String {
-    json!({"tUs": now, "msgs": events}).to_string()
+fn batch(now_us: u64, messages: Value) -> String {
+    json!({"tUs": now_us, "msgs": messages}).to_string()
 }
 
 fn setup() -> Value {
@@ -33,7 +33,8 @@
     })
 }
 
-fn opening() -> String {
+/// A batch that starts instance 3, gives it an endpoint list and submits message 900.
+fn first_batch() -> String {
     batch(
         100,
         json!([
@@ -45,16 +46,17 @@
     )
 }
 
-fn actions(output: &Output, reply: usize) -> Vec<Value> {
-    let text = String::from_utf8(output.stdout.clone()).expect("text");
-    let line: Value = serde_json::from_str(text.lines().nth(reply).expect("a reply")).expect("JSON");
-    line["do"].as_array().expect("an array").clone()
+fn actions(output: &Output, reply_index: usize) -> Vec<Value> {
+    let text = String::from_utf8(output.stdout.clone()).expect("output is UTF-8");
+    let line: Value =
+        serde_json::from_str(text.lines().nth(reply_index).expect("reply exists")).expect("reply is JSON");
+    line["do"].as_array().expect("actions are an array").clone()
 }
 
 #[test]
-fn a_message_is_sent_answered_and_ended() {
-    let error = json!([["answer", 3, 900, 0, 51, 20, 5000, false, null, {"x0": 0.5, "odd": 1}]]);
-    let output = run(&[batch(0, json!([])), opening(), batch(200, error)]);
+fn a_message_is_sent_and_fails_after_an_error_response() {
+    let error_outcome = json!([["answer", 3, 900, 0, 51, 20, 5000, false, null, {"x0": 0.5, "odd": 1}]]);
+    let output = run(&[batch(0, json!([])), first_batch(), batch(200, error_outcome)]);
     assert!(output.status.success());
     assert!(actions(&output, 0).is_empty());
     assert!(actions(&output, 1).contains(&json!(["relay", 3, 900, 51, 1_999_900 + 100])));
@@ -62,16 +64,16 @@
 }
 
 #[test]
-fn a_restart_under_the_same_number_forgets() {
-    let again = json!([["powerOff", 3], ["born", 3, 5, setup()], ["gone", 3, 900]]);
-    let output = run(&[opening(), batch(200, again)]);
+fn an_instance_that_is_created_again_keeps_no_messages() {
+    let restart = json!([["powerOff", 3], ["born", 3, 5, setup()], ["gone", 3, 900]]);
+    let output = run(&[first_batch(), batch(200, restart)]);
     assert!(output.status.success());
     assert!(actions(&output, 1).is_empty());
 }
 
 #[test]
-fn malformed_input_gets_one_plain_line_and_a_failure() {
-    for (line, word) in [
+fn malformed_input_gets_a_one_line_error_and_a_failure_exit() {
+    for (line, expected) in [
         ("{".to_owned(), "JSON"),
         ("[]".to_owned(), "tUs"),
         (batch(1, json!({})), "msgs"),
@@ -85,14 +87,14 @@
         (batch(1, json!([["answer", 3, 900, 0, 51, 99, 5, false, null, null]])), "verdict"),
         ("{\"tUs\":1,\"msgs\":[[\"\u{1}".to_owned(), "JSON"),
     ] {
-        let output = run(&[opening(), line.clone()]);
-        let complaint = String::from_utf8_lossy(&output.stderr).into_owned();
+        let output = run(&[first_batch(), line.clone()]);
+        let error = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success(), "{line}");
-        assert!(complaint.contains(word) && complaint.lines().count() == 1, "{line}: {complaint}");
+        assert!(error.contains(expected) && error.lines().count() == 1, "{line}: {error}");
         assert_eq!(
-            output.stdout.iter().filter(|b| **b == b'\n').count(),
+            output.stdout.iter().filter(|byte| **byte == b'\n').count(),
             1,
-            "only the good line has a reply"
+            "only the well-formed line has a reply"
         );
     }
 }
