--- a/benchlink/src/wire.rs
+++ b/benchlink/src/wire.rs
@@ -63,20 +63,20 @@
         let batch: Value = serde_json::from_slice(line).map_err(|error| format!("not JSON: {error}"))?;
         let now = batch.get("tUs").and_then(Value::as_u64).ok_or("batch has no clock \"tUs\"")?;
         let events = batch.get("msgs").and_then(Value::as_array).ok_or("batch has no array \"msgs\"")?;
-        let mut replies = Vec::new();
+        let mut output = Vec::new();
         for event in events {
-            self.handle(Micros(now), event, &mut replies)?;
+            self.handle(Micros(now), event, &mut output)?;
         }
         for (id, instance) in self.instances.iter_mut().filter(|(_, instance)| instance.has_events) {
             instance.has_events = false;
             let Instance { policy, actions, .. } = instance;
-            catch_panic(*id, &mut replies, || policy.decide(Micros(now), actions));
-            replies.extend(actions.drain(..).map(|action| write_action(*id, action)));
+            catch_panic(*id, &mut output, || policy.decide(Micros(now), actions));
+            output.extend(actions.drain(..).map(|action| write_action(*id, action)));
         }
-        Ok(json!({ "do": replies }).to_string())
+        Ok(json!({ "do": output }).to_string())
     }
 
-    fn handle(&mut self, now: Micros, event: &Value, replies: &mut Vec<Value>) -> Result<(), String> {
+    fn handle(&mut self, now: Micros, event: &Value, output: &mut Vec<Value>) -> Result<(), String> {
         let array = event.as_array().ok_or("a message is not an array")?;
         let name = array.first().and_then(Value::as_str).ok_or("a message has no name")?;
         let fields = Fields { name, values: &array[1..] };
@@ -105,7 +105,7 @@
         instance.has_events = true;
         if let Some(event) = read_event(&fields, &instance.names, &self.lists)? {
             let Instance { policy, actions, .. } = instance;
-            catch_panic(id, replies, || policy.on_event(now, event, actions));
+            catch_panic(id, output, || policy.on_event(now, event, actions));
         }
         Ok(())
     }
@@ -122,11 +122,11 @@
 }
 
 /// Runs a call into the library. A panic there is reported on the wire as the crash of the instance.
-fn catch_panic(instance: u64, replies: &mut Vec<Value>, call: impl FnOnce()) {
+fn catch_panic(instance: u64, output: &mut Vec<Value>, call: impl FnOnce()) {
     if let Err(cause) = catch_unwind(AssertUnwindSafe(call)) {
         let text = cause.downcast_ref::<String>().map(String::as_str);
         let text = text.or_else(|| cause.downcast_ref::<&str>().copied()).unwrap_or("internal failure");
-        replies.push(json!(["crash", instance, text]));
+        output.push(json!(["crash", instance, text]));
     }
 }
 
@@ -167,19 +167,19 @@
 fn read_entry(node: &Value, names: &NameIndex) -> Result<ListEntry, String> {
     let values = node.as_array().ok_or("a list entry is not an array")?;
     let fields = Fields { name: "defineList", values };
-    let listing = match fields.text(1, "status")? {
+    let state = match fields.text(1, "status")? {
         "ready" => EntryState::Ready,
         "draining" => EntryState::Draining,
         "gone" => EntryState::Gone,
         _ => return Err(fields.error("status", "ready, draining or gone")),
     };
     // A name that the settings do not have gets an index that no known name has.
-    let index_of = |map: &BTreeMap<String, usize>, at, field| -> Result<usize, String> {
-        Ok(fields.optional_text(at, field)?.and_then(|name| map.get(name).copied()).unwrap_or(usize::MAX))
+    let index_of = |map: &BTreeMap<String, usize>, index, field| -> Result<usize, String> {
+        Ok(fields.optional_text(index, field)?.and_then(|name| map.get(name).copied()).unwrap_or(usize::MAX))
     };
     Ok(ListEntry {
         receiver: ReceiverId(fields.int(0, "receiver")?),
-        state: listing,
+        state,
         zone: ZoneId(index_of(&names.zones, 3, "hall")?),
         destination: DestinationId(fields.get(4).map_or(Ok(0), |_| fields.int(4, "dest"))?),
         kind: KindId(index_of(&names.kinds, 5, "machine")?),
--- a/src/core/actions.rs
+++ b/src/core/actions.rs
@@ -17,8 +17,8 @@
         /// How long to wait for the response.
         timeout: Micros,
     },
-    /// Stop waiting for the response to an attempt: its message has ended by another attempt, or the attempt
-    /// is overdue and its slot is needed.
+    /// Stop waiting for the response to an attempt: its message has ended by another attempt, or later calls
+    /// overtook the attempt and its slot is needed.
     CancelAttempt {
         /// Number of the message.
         number: u64,
--- a/src/core/ledger.rs
+++ b/src/core/ledger.rs
@@ -326,8 +326,8 @@
     /// Begins an attempt and returns its record.
     ///
     /// # Errors
-    /// The attempt must not be made. This checks the decision of the policy engine again, by what the log knows
-    /// about the message.
+    /// The attempt must not be made. This checks the decision of the policy engine again, by what the log
+    /// knows about the message.
     pub fn begin_attempt(
         &mut self, number: u64, attempt: u32, endpoint: &str, zone: &str, at: Micros,
     ) -> Result<Record, AttemptDenied> {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -414,7 +414,7 @@
 /// Something that the caller must do.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Action {
-    /// Call the receiver with the message and wait for the response until `timeout`. Sends to the same
+    /// Call the receiver with the message and wait for the response for at most `timeout`. Sends to the same
     /// receiver from one [`decide`](crate::PolicyEngine::decide) share calls up to
     /// [`KindSettings::messages_per_call`].
     Send {
@@ -425,8 +425,8 @@
         /// How long to wait for the response.
         timeout: Micros,
     },
-    /// Stop waiting for an attempt in flight: its message has ended by another attempt, or the attempt is
-    /// overdue and its slot is needed. The caller must still report its outcome.
+    /// Stop waiting for an attempt in flight: its message has ended by another attempt, or later calls
+    /// overtook the attempt and its slot is needed. The caller must still report its outcome.
     CancelAttempt {
         /// The message.
         id: MessageId,
@@ -437,7 +437,7 @@
     Refuse {
         /// The message.
         id: MessageId,
-        /// How long the client should wait, if it is told.
+        /// How long the client should wait; none if it gets no retry-after.
         retry_after: Option<Micros>,
     },
     /// Final status: failed. The message may or may not have run.
--- a/tower/src/lib.rs
+++ b/tower/src/lib.rs
@@ -37,8 +37,8 @@
 
 /// Decides how a call ended, from its result.
 pub trait Classify<T, E> {
-    /// How the call ended. [`Verdict::Delivered`] ends the request. A request that may have run is not repeated
-    /// where a repeat could take effect again.
+    /// How the call ended. [`Verdict::Delivered`] ends the request. A request that may have run is not
+    /// repeated where a repeat could take effect again.
     fn verdict(&self, result: &Result<T, E>) -> Verdict;
 }
 
