--- a/src/core/ledger.rs
+++ b/src/core/ledger.rs
@@ -4,7 +4,7 @@
 use super::classes::Classes;
 use super::record::{AcceptedMessage, AttemptStatus, FinalStatus, Record, RecordedClass};
 use super::recovery::OpenMessage;
-use super::{Ids, NameIndex};
+use super::{NameIndex, RecentIds};
 use crate::PolicyEngine;
 use crate::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -49,7 +49,7 @@
     max_in_flight: usize,
     allow_cancel: bool,
     /// Request ids of recent submissions.
-    request_ids: Ids,
+    request_ids: RecentIds,
     /// Number of open messages that have a final status.
     with_final_status: usize,
     /// Messages of an earlier process that have had no attempt yet.
@@ -78,7 +78,7 @@
             max_held: settings.max_held as usize,
             allow_cancel: settings.allow_cancel,
             max_in_flight: if settings.second_copies { 2 } else { 1 },
-            request_ids: Ids::new(classes.max_give_up_after().plus(RUN_AFTER_END)),
+            request_ids: RecentIds::new(classes.max_give_up_after().plus(RUN_AFTER_END)),
             classes,
             class_of: BTreeMap::new(),
             policy: PolicyEngine::new(settings, seed),
@@ -198,7 +198,7 @@
     /// Records the request id of a submission. Returns false if an earlier submission with this id, of
     /// whichever client, could still run: a second message with it would be a second copy at an endpoint.
     pub fn remember_request_id(&mut self, now: Micros, request_id: &str) -> bool {
-        self.request_ids.fresh(now, request_id)
+        self.request_ids.insert(now, request_id)
     }
     /// The latest deadline that a message of this class may have if it is accepted now.
     pub fn latest_deadline(&self, now: Micros, class: &str) -> Micros {
@@ -276,7 +276,7 @@
         let open = self.bounded(now, message);
         let message = self.message(now, &open.accepted);
         self.class_of.extend(message.as_ref().map(|message| (number, message.class)));
-        self.request_ids.fresh(now, &open.accepted.request_id);
+        self.request_ids.insert(now, &open.accepted.request_id);
         let first_possible_run = open.first_possible_run.as_ref().map(|(at, zone)| (*at, self.zone_id(zone)));
         let history = AttemptHistory { attempts: open.attempts, first_possible_run };
         let has_final_status = open.final_status.is_some();
--- a/src/core/recent_ids.rs
+++ b/src/core/recent_ids.rs
@@ -11,7 +11,7 @@
 /// Remembers each id for as long as a message with it could still run: a second message with that id would be
 /// a second copy at an endpoint. Only a hash of each id is kept, so that long ids need no more memory.
 #[derive(Clone, Debug, Default)]
-pub struct Ids {
+pub struct RecentIds {
     retention: Micros,
     hasher: RandomState,
     hashes: HashSet<u64>,
@@ -19,17 +19,17 @@
     oldest_first: VecDeque<(Micros, u64)>,
 }
 
-impl Ids {
+impl RecentIds {
     /// An empty set that keeps each id for `retention`.
-    pub fn new(retention: Micros) -> Ids {
-        Ids { retention, ..Ids::default() }
+    pub fn new(retention: Micros) -> RecentIds {
+        RecentIds { retention, ..RecentIds::default() }
     }
     /// Keeps each id for `retention` from now on, if that is longer than before.
     pub fn extend_retention(&mut self, retention: Micros) {
         self.retention = self.retention.max(retention);
     }
     /// Adds an id. Returns false if it is still remembered from before.
-    pub fn fresh(&mut self, now: Micros, id: &str) -> bool {
+    pub fn insert(&mut self, now: Micros, id: &str) -> bool {
         let expired = |added: Micros| now.since(added) > self.retention;
         while self.oldest_first.len() >= MAX_IDS
             || self.oldest_first.front().is_some_and(|(added, _)| expired(*added))
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -283,13 +283,13 @@
 /// An id is refused for as long as its request could still run, and no longer: what is kept of ids has a bound.
 #[test]
 fn an_id_comes_once_and_is_forgotten_in_time() {
-    let mut ids = onyxrock::core::Ids::new(Micros(1000));
-    assert!(ids.fresh(Micros(0), "a") && !ids.fresh(Micros(900), "a") && ids.fresh(Micros(900), "b"));
-    assert!(ids.fresh(Micros(1001), "a"), "its time is over");
-    assert!(!ids.fresh(Micros(1001), "b"));
-    assert!((0..20_000).all(|i| ids.fresh(Micros(1001), &i.to_string())));
-    assert!(ids.fresh(Micros(1001), "b"), "the oldest goes when there are too many");
-    assert!(!ids.fresh(Micros(1001), "19999"));
+    let mut ids = onyxrock::core::RecentIds::new(Micros(1000));
+    assert!(ids.insert(Micros(0), "a") && !ids.insert(Micros(900), "a") && ids.insert(Micros(900), "b"));
+    assert!(ids.insert(Micros(1001), "a"), "its time is over");
+    assert!(!ids.insert(Micros(1001), "b"));
+    assert!((0..20_000).all(|i| ids.insert(Micros(1001), &i.to_string())));
+    assert!(ids.insert(Micros(1001), "b"), "the oldest goes when there are too many");
+    assert!(!ids.insert(Micros(1001), "19999"));
 }
 
 /// With a second copy out, what the log knows of the first must not be lost to the outcome of the other: its window and
