--- a/config/src/duties.rs
+++ b/config/src/duties.rs
@@ -189,7 +189,7 @@
         }
         let keys = self.key.into_iter().map(|k| Key { id: k.id.into_inner(), secret: k.secret.0 });
         let keys = Keys::new(*self.sign.get_ref(), keys);
-        let keys = keys.map_err(|NoKey| {
+        let keys = keys.map_err(|MissingSigningKey| {
             InvalidValue::new(&self.sign, format!("there is no key {}", self.sign.get_ref()))
         })?;
         let lease = self.lease_s.as_ref().map_or(LEASE, |l| *l.get_ref());
