--- a/daemon/src/list/dns.rs
+++ b/daemon/src/list/dns.rs
@@ -1,4 +1,4 @@
-//! The list out of a zone file, kept up by dynamic updates that come to a socket of ours.
+//! Serves the endpoint list from a DNS zone file, which dynamic updates over a UDP socket keep current.
 
 use super::zone::Zone;
 use crate::core_actor::CoreMessage;
@@ -12,55 +12,61 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// The largest zone that is kept in the folder that lasts, where it stands twice while a new one is written: four times
-/// the one in the file, up to an eighth of the folder; 64 KiB at least.
+/// Largest text of the zone that is kept in the state folder, where it needs twice that space while a new
+/// version is written: 4 times the size of the configured zone file, up to 1/8 of the folder's limit, but
+/// at least 64 KiB.
 pub fn max_kept_zone_bytes(zone: &str, disk_bytes: u64) -> u64 {
     (4 * zone.len() as u64).min(disk_bytes / 8).max(64 * 1024)
 }
 
-const NAME: &str = "onyxrock.zone";
+/// Name of the zone's copy in the state folder.
+const STORED_ZONE_FILE: &str = "onyxrock.zone";
 
+/// The zone in memory, its copy in the state folder, and the socket for updates.
 pub struct DnsServer {
     pub zone: Zone,
+    /// Names of zones and kinds that records may use.
     pub names: NameIndex,
+    /// Receives updates.
     pub socket: Async<UdpSocket>,
     folder: PathBuf,
-    most: u64,
+    max_bytes: u64,
 }
 
 impl DnsServer {
-    /// The zone as an earlier process kept it, where that is later than the file.
+    /// Opens the socket and reads the zone: the one that an earlier process kept, if it is later than the
+    /// configured one.
     pub fn open(
-        text: &str, origin: &str, listen: SocketAddr, folder: PathBuf, most: u64, names: NameIndex,
+        text: &str, origin: &str, listen: SocketAddr, folder: PathBuf, max_bytes: u64, names: NameIndex,
     ) -> Result<DnsServer, String> {
         let mut zone = Zone::parse(text, origin)?;
-        if let Ok(kept) = std::fs::read_to_string(folder.join(NAME)) {
-            match Zone::parse(&kept, origin) {
-                Ok(kept) if (kept.serial().wrapping_sub(zone.serial()) as i32) > 0 => zone = kept,
+        if let Ok(stored) = std::fs::read_to_string(folder.join(STORED_ZONE_FILE)) {
+            match Zone::parse(&stored, origin) {
+                Ok(stored) if (stored.serial().wrapping_sub(zone.serial()) as i32) > 0 => zone = stored,
                 Ok(_) => {}
-                Err(e) => tracing::warn!("dns: the kept zone cannot be read and is left out: {e}"),
+                Err(e) => tracing::warn!("dns: cannot read the stored zone, using the configured one: {e}"),
             }
         }
         let socket = Async::<UdpSocket>::bind(listen)
             .map_err(|e| format!("cannot listen on {listen} for DNS: {e}"))?;
-        Ok(DnsServer { zone, names, socket, folder, most })
+        Ok(DnsServer { zone, names, socket, folder, max_bytes })
     }
 
-    /// An update is answered once it would survive this process.
-    fn keep(&self) -> std::io::Result<()> {
+    /// Stores the zone: an update is acknowledged only once it would survive this process.
+    fn store(&self) -> std::io::Result<()> {
         let text = self.zone.text();
-        if text.len() as u64 > self.most {
-            return Err(std::io::Error::other("the zone is too large to be kept"));
+        if text.len() as u64 > self.max_bytes {
+            return Err(std::io::Error::other("the zone is too large to be stored"));
         }
         let new = self.folder.join("onyxrock.zone.new");
         std::fs::write(&new, text)?;
-        std::fs::rename(new, self.folder.join(NAME))
+        std::fs::rename(new, self.folder.join(STORED_ZONE_FILE))
     }
 
-    /// The answer to a message, and whether the list is another one now. None for what is no question.
+    /// The reply to a message, and whether the zone has changed. `None` for a message that is not a query.
     pub fn answer(&mut self, bytes: &[u8]) -> Option<(Vec<u8>, bool)> {
-        let m = match Message::from_vec(bytes) {
-            Ok(m) if m.metadata.message_type == hickory_proto::op::MessageType::Query => m,
+        let message = match Message::from_vec(bytes) {
+            Ok(message) if message.metadata.message_type == hickory_proto::op::MessageType::Query => message,
             Ok(_) => return None,
             Err(_) => {
                 let id = u16::from_be_bytes(bytes.get(..2)?.try_into().ok()?);
@@ -68,13 +74,13 @@
                 return Some((reply.to_vec().ok()?, false));
             }
         };
-        let (code, changed) = match m.metadata.op_code {
+        let (code, changed) = match message.metadata.op_code {
             OpCode::Update => {
                 let before = self.zone.clone();
-                let (code, changed) = self.zone.update(&m);
-                match changed.then(|| self.keep()) {
+                let (code, changed) = self.zone.update(&message);
+                match changed.then(|| self.store()) {
                     Some(Err(e)) => {
-                        tracing::error!("dns: {e}");
+                        tracing::error!("dns: cannot store the zone, update refused: {e}");
                         self.zone = before;
                         (ResponseCode::ServFail, false)
                     }
@@ -84,37 +90,37 @@
             OpCode::Query => (ResponseCode::Refused, false),
             _ => (ResponseCode::NotImp, false),
         };
-        let reply = Message::error_msg(m.metadata.id, m.metadata.op_code, code);
+        let reply = Message::error_msg(message.metadata.id, message.metadata.op_code, code);
         Some((reply.to_vec().ok()?, changed))
     }
 }
 
-/// Each wish of the module, and each update, is answered with the whole list.
-pub async fn run(shared: Rc<SharedState>, mut dns: DnsServer, wishes: Receiver<()>) {
+/// Sends the complete list to the core for each of its requests and after each update.
+pub async fn run(shared: Rc<SharedState>, mut dns: DnsServer, requests: Receiver<()>) {
     let mut bytes = vec![0; 64 * 1024];
     loop {
-        let wish = async { wishes.recv().await.ok().map(|()| None) };
+        let request = async { requests.recv().await.ok().map(|()| None) };
         let message = async { Some(Some(dns.socket.recv_from(&mut bytes).await)) };
-        let tell = match future::or(wish, message).await {
+        let send_list = match future::or(request, message).await {
             None => return,
             Some(None) => true,
             Some(Some(Err(e))) => {
-                tracing::error!("dns: {e}");
+                tracing::error!("dns: cannot receive from the socket: {e}");
                 false
             }
-            Some(Some(Ok((n, from)))) => match dns.answer(&bytes[..n]) {
+            Some(Some(Ok((length, sender)))) => match dns.answer(&bytes[..length]) {
                 Some((reply, changed)) => {
                     shared.counters.dns_messages.increment();
-                    let _ = dns.socket.send_to(&reply, from).await;
+                    let _ = dns.socket.send_to(&reply, sender).await;
                     changed
                 }
                 None => false,
             },
         };
-        if tell {
+        if send_list {
             shared.counters.list_answers.increment();
-            let (list, wrong) = dns.zone.endpoints(&dns.names);
-            wrong.iter().for_each(|w| tracing::warn!("dns: {w}"));
+            let (list, errors) = dns.zone.endpoints(&dns.names);
+            errors.iter().for_each(|e| tracing::warn!("dns: record left out: {e}"));
             if shared.core.send(CoreMessage::EndpointList(list)).await.is_err() {
                 return;
             }
