--- a/daemon/src/list/fetch.rs
+++ b/daemon/src/list/fetch.rs
@@ -1,8 +1,8 @@
-//! One call to discovery: the request, its time-outs, and the list that comes as its answer.
+//! One call to discovery: the request, its timeouts, and the endpoint list of its response.
 
-use super::{DiscoveryParams, GRACE, PIECE, roster_endpoint};
+use super::{ANSWER_GRACE, DiscoveryParams, READ_BLOCK_BYTES, roster_endpoint};
 use crate::clock::Clock;
-use crate::net::http::client::{Answer, Conn, Lost};
+use crate::net::http::client::{Conn, Response, ResponseError};
 use futures_lite::future;
 use onyxrock::interface::Micros;
 use onyxrock_config::list::ListReader;
@@ -10,80 +10,88 @@
 use onyxrock_sharing::{ListRole, MAX_LIST_UPDATE_BYTES};
 use std::net::SocketAddr;
 
-/// A list as it was read.
-pub struct Fetched {
+/// An endpoint list, or the changes of one, as read from a response.
+pub struct FetchedList {
     pub generation: u64,
-    /// It names all endpoints; else only those that have changed.
-    pub whole: bool,
+    /// The list names all endpoints; otherwise only those that have changed.
+    pub complete: bool,
     pub entries: StagedList,
-    /// Its text where that is short enough to be passed on to other instances, else nothing.
+    /// The body of the response, if it is short enough to be passed on to other instances; otherwise empty.
     pub text: Vec<u8>,
 }
 
-/// Why there is no list.
+/// Why a call returned no list.
 #[derive(Debug)]
-pub enum Failed {
-    /// There was no answer, or none that can be read.
-    Lost(String),
-    /// The call was made, and nothing or no end of its answer came: a watch that has fallen silent.
+pub enum FetchError {
+    /// There was no response, or one that cannot be used.
+    Unavailable(String),
+    /// The call was made, but no response or no end of one arrived: a watch that has fallen silent.
     Silent(String),
-    /// It is longer than may be held.
+    /// The list exceeds the configured limits.
     TooLong(String),
 }
 
-impl From<String> for Failed {
-    fn from(why: String) -> Failed {
-        Failed::Lost(why)
+impl From<String> for FetchError {
+    fn from(reason: String) -> FetchError {
+        FetchError::Unavailable(reason)
     }
 }
 
-/// What one call needs to know.
+/// The parameters of one call.
 pub struct Call<'a> {
     pub clock: &'a Clock,
+    /// How to call discovery, and the generation in use.
     pub discovery: &'a DiscoveryParams,
-    /// It waits so long for news.
+    /// How long discovery may hold the call open until there are changes.
     pub wait: Micros,
-    /// A connection may take until then.
+    /// Deadline for a new connection.
     pub connect_by: Micros,
-    /// The answer may begin until then; after that it must go on coming.
+    /// Deadline for the first byte of the response; after that the response must keep arriving.
     pub answer_by: Micros,
     pub address: SocketAddr,
+    /// Whether this instance holds the list duty.
     pub role: ListRole,
 }
 
-fn text_of(e: std::io::Error) -> String {
+fn error_text(e: std::io::Error) -> String {
     e.to_string()
 }
 
-fn late() -> Failed {
-    Failed::Silent("no answer in time".to_owned())
+fn no_answer_in_time() -> FetchError {
+    FetchError::Silent("no answer in time".to_owned())
 }
 
 impl Call<'_> {
-    /// Asks for the list, over the connection of the last call where that is still good.
-    pub async fn fetch(&self, kept: &mut Option<Conn>) -> Result<Fetched, Failed> {
+    /// Requests the list, over the connection of the previous call if it is still usable.
+    pub async fn fetch(&self, kept: &mut Option<Conn>) -> Result<FetchedList, FetchError> {
         let mut conn = self.connection(kept).await?;
-        let answer = self.clock.timeout_at(self.answer_by, self.ask(&mut conn)).await.ok_or_else(late)??;
-        let (fetched, again) = self.read(&mut conn, &answer).await?;
-        *kept = again.then_some(conn);
+        let response = self
+            .clock
+            .timeout_at(self.answer_by, self.send_request(&mut conn))
+            .await
+            .ok_or_else(no_answer_in_time)??;
+        let (fetched, reusable) = self.read(&mut conn, &response).await?;
+        *kept = reusable.then_some(conn);
         Ok(fetched)
     }
 
-    async fn connection(&self, kept: &mut Option<Conn>) -> Result<Conn, Failed> {
-        if let Some(conn) = kept.take().filter(|c| !c.is_stale()) {
+    /// The connection of the previous call, or a new one.
+    async fn connection(&self, kept: &mut Option<Conn>) -> Result<Conn, FetchError> {
+        if let Some(conn) = kept.take().filter(|conn| !conn.is_stale()) {
             return Ok(conn);
         }
-        let open = self.clock.timeout_at(self.connect_by, Conn::open(self.address, PIECE)).await;
-        let conn = open.ok_or_else(|| "no connection in time".to_owned())?;
-        Ok(conn.map_err(text_of)?)
+        let opened = self.clock.timeout_at(self.connect_by, Conn::open(self.address, READ_BLOCK_BYTES)).await;
+        let conn = opened.ok_or_else(|| "no connection in time".to_owned())?;
+        Ok(conn.map_err(error_text)?)
     }
 
     fn request(&self) -> String {
         let query = match self.discovery.generation {
             None => String::new(),
-            Some(g) => format!("?since={g}&timeout_ms={}", self.wait.0 / 1000),
+            Some(generation) => format!("?since={generation}&timeout_ms={}", self.wait.0 / 1000),
         };
-        // Who asks for all says under which lease: a source that keeps the highest refuses one that is over.
+        // The holder of the list duty names the epoch of its lease: a source that remembers the highest
+        // epoch refuses a holder whose lease is over.
         let epoch = match self.role {
             ListRole::Owner(epoch) => format!("X-Epoch: {epoch}\r\n"),
             ListRole::Standalone | ListRole::Follower => String::new(),
@@ -91,58 +99,64 @@
         format!("GET /v1/endpoints{query} HTTP/1.1\r\nHost: {}\r\n{epoch}\r\n", self.address)
     }
 
-    async fn ask(&self, conn: &mut Conn) -> Result<Answer, Failed> {
-        conn.write(self.request().as_bytes()).await.map_err(text_of)?;
+    /// Sends the request and reads the head of the response.
+    async fn send_request(&self, conn: &mut Conn) -> Result<Response, FetchError> {
+        conn.write(self.request().as_bytes()).await.map_err(error_text)?;
         match conn.read_head(self.clock, self.answer_by).await {
-            Err(Lost::TimedOut) => Err(late()),
-            Err(Lost::Spoilt(why)) => Err(Failed::Silent(why)),
-            answer => answer.map_err(|e| text_of(e.into()).into()),
+            Err(ResponseError::TimedOut) => Err(no_answer_in_time()),
+            Err(ResponseError::Malformed(reason)) => Err(FetchError::Silent(reason)),
+            response => response.map_err(|e| error_text(e.into()).into()),
         }
     }
 
-    /// Reads the body in pieces, and whether the connection can take another call.
-    async fn read(&self, conn: &mut Conn, answer: &Answer) -> Result<(Fetched, bool), Failed> {
-        let bounds = &self.discovery.bounds;
-        let (most, memory_mb) = (bounds.entries.0 as usize, bounds.memory_mb.0);
+    /// Reads the body in parts; also returns whether the connection can carry another call.
+    async fn read(&self, conn: &mut Conn, response: &Response) -> Result<(FetchedList, bool), FetchError> {
+        let limits = &self.discovery.bounds;
+        let (most, memory_mb) = (limits.entries.0 as usize, limits.memory_mb.0);
         let mut entries = StagedList::new(most, memory_mb as usize * 1_000_000);
         let mut reader = ListReader::new(&self.discovery.names);
         let mut text = Vec::new();
-        let mut body = conn.begin_body(answer, usize::MAX).map_err(|e| Failed::Silent(e.to_string()))?;
-        // A long list takes its time; one that comes by drops is as good as silence.
-        let (mut soon, mut came) = (self.clock.now().plus(GRACE), 0);
+        let mut body =
+            conn.begin_body(response, usize::MAX).map_err(|e| FetchError::Silent(e.to_string()))?;
+        // A long list may take its time, but a list that trickles in is treated as silence.
+        let (mut deadline, mut received) = (self.clock.now().plus(ANSWER_GRACE), 0);
         loop {
-            let part = self.clock.timeout_at(soon, conn.read_part(&mut body)).await.ok_or_else(late)?;
-            let Some(part) = part.map_err(text_of)? else { break };
-            came += part.len();
-            if came >= PIECE {
-                (soon, came) = (self.clock.now().plus(GRACE), 0);
+            let part = self
+                .clock
+                .timeout_at(deadline, conn.read_part(&mut body))
+                .await
+                .ok_or_else(no_answer_in_time)?;
+            let Some(part) = part.map_err(error_text)? else { break };
+            received += part.len();
+            if received >= READ_BLOCK_BYTES {
+                (deadline, received) = (self.clock.now().plus(ANSWER_GRACE), 0);
             }
-            if answer.status != 200 {
+            if response.status != 200 {
                 continue;
             }
             if text.len() <= MAX_LIST_UPDATE_BYTES {
                 text.extend_from_slice(part);
             }
-            reader.feed(part, |l| {
-                entries.push(&roster_endpoint(&l)).map_err(|refused| match refused {
-                    EntryError::Full => Failed::TooLong(format!(
+            reader.feed(part, |listed| {
+                entries.push(&roster_endpoint(&listed)).map_err(|error| match error {
+                    EntryError::Full => FetchError::TooLong(format!(
                         "over {most} entries or {memory_mb} MB, its bounds in [list]"
                     )),
                     EntryError::OutOfBounds => {
-                        Failed::Lost("a name or the number of zones is out of bounds".into())
+                        FetchError::Unavailable("a name or the number of zones is out of bounds".into())
                     }
                 })
             })?;
-            // Nobody waits for the rest of a long list.
+            // Lets other actors run while a long list is read.
             future::yield_now().await;
         }
-        if answer.status != 200 {
-            return Err(Failed::Lost(format!("answer {}", answer.status)));
+        if response.status != 200 {
+            return Err(FetchError::Unavailable(format!("answer {}", response.status)));
         }
-        let (generation, whole) = reader.finish()?;
+        let (generation, complete) = reader.finish()?;
         if text.len() > MAX_LIST_UPDATE_BYTES {
             text = Vec::new();
         }
-        Ok((Fetched { generation, whole, entries, text }, body.again))
+        Ok((FetchedList { generation, complete, entries, text }, body.reusable))
     }
 }
--- a/daemon/src/list/follow.rs
+++ b/daemon/src/list/follow.rs
@@ -1,7 +1,8 @@
-//! Follows discovery: one call after the other, and what becomes of each answer and each failure.
+//! Follows the endpoint list of discovery: makes one call after another and handles each response and each
+//! failure.
 
-use super::fetch::{Call, Failed, Fetched};
-use super::{DiscoveryParams, GRACE, ListPart, PAUSE};
+use super::fetch::{Call, FetchError, FetchedList};
+use super::{ANSWER_GRACE, DiscoveryParams, ListPart, UNWAITED_ANSWER_DELAY};
 use crate::core_actor::CoreMessage;
 use crate::net::SharedState;
 use crate::net::http::client::Conn;
@@ -14,157 +15,163 @@
 use onyxrock_sharing::{ListRole, ListUpdate, ToList, ToPeers};
 use std::rc::Rc;
 
-/// An answer that comes sooner was not waited for.
-const ANSWERED_AT_ONCE: Micros = Micros(20_000);
-/// A call that fails later has waited in a queue, which more calls make longer, or was lost with those of others.
-const FAILED_AT_ONCE: Micros = Micros(300_000);
+/// A watch that is answered sooner than this was not held open by discovery.
+const UNWAITED_ANSWER_TIME: Micros = Micros(20_000);
+/// A call that fails later than this has waited in a queue, which more calls make longer, or was lost
+/// together with calls of other forwarders.
+const IMMEDIATE_FAILURE_TIME: Micros = Micros(300_000);
 
-/// The module has gone: there is nobody to follow the list for.
-struct ModuleGone;
+/// The core has stopped, so nobody needs the list any more.
+struct CoreStopped;
 
-/// What comes next after something was heard.
-enum Next {
-    /// Another call at once.
+/// What to do after an event.
+enum NextStep {
+    /// Make another call at once.
     Call,
-    /// The module says when.
-    WaitForModule,
+    /// Wait until the core requests the list.
+    WaitForRequest,
 }
 
-enum Heard {
+/// What the actor waits for during a call.
+enum Event {
     Message(ToList),
-    Answer(Result<Fetched, Failed>),
-    /// There is another discovery now.
-    Moved,
+    Answer(Result<FetchedList, FetchError>),
+    /// The address of discovery has changed.
+    DiscoveryMoved,
 }
 
-/// Each wish is the module's, to follow the list. Where discovery has moved it is followed there at once. An instance
-/// that is told the list by another asks for itself only what it was not told.
+/// Follows the list, beginning whenever the core sends a request over `requests`. A change of discovery's
+/// address is followed at once. An instance that receives the list from the holder of the list duty calls
+/// discovery only for what it has not received.
 pub async fn run(
-    shared: Rc<SharedState>, discovery: DiscoveryParams, wishes: Receiver<()>, moves: Receiver<()>,
-    messages: Receiver<ToList>,
+    shared: Rc<SharedState>, discovery: DiscoveryParams, requests: Receiver<()>,
+    address_changes: Receiver<()>, messages: Receiver<ToList>,
 ) {
     let answered_at = shared.clock.now();
     let follower = Follower {
         shared,
         discovery,
-        wishes,
-        moves,
+        requests,
+        address_changes,
         messages,
         conn: None,
         role: ListRole::Standalone,
-        behind: false,
-        complaint: String::new(),
-        silences: 0,
+        missed_update: false,
+        last_refusal: String::new(),
+        silent_calls: 0,
         confirmed: false,
         answered_once: false,
         calls: 0,
         failures: 0,
         answered_at,
     };
-    // It ends with the module.
+    // Ends when the core stops.
     let _ = follower.run().await;
 }
 
+/// The actor that follows the list.
 struct Follower {
     shared: Rc<SharedState>,
     discovery: DiscoveryParams,
-    wishes: Receiver<()>,
-    moves: Receiver<()>,
+    requests: Receiver<()>,
+    address_changes: Receiver<()>,
     messages: Receiver<ToList>,
     conn: Option<Conn>,
     role: ListRole,
-    /// What was told does not follow from what is held: ask once.
-    behind: bool,
-    /// The last complaint about a list that is too long, which one line tells of.
-    complaint: String,
-    /// Calls in a row that fell silent.
-    silences: u32,
-    /// The last call was answered: what is held is the list as it was then, and a watch may wait for changes.
+    /// An update did not continue the generation in use: one call to discovery is needed.
+    missed_update: bool,
+    /// The last reason for which a list was refused as too long; each is logged once.
+    last_refusal: String,
+    /// Consecutive calls that fell silent.
+    silent_calls: u32,
+    /// The last call was answered: the list in use was current then, and a watch may wait for changes.
     confirmed: bool,
-    /// A call of this process was answered.
+    /// A call of this process has been answered.
     answered_once: bool,
-    /// Calls made, and those of them that failed since the last answer.
+    /// Calls made.
     calls: u64,
+    /// Calls that failed since the last response.
     failures: u32,
     answered_at: Micros,
 }
 
 impl Follower {
-    async fn run(mut self) -> Result<(), ModuleGone> {
+    async fn run(mut self) -> Result<(), CoreStopped> {
         loop {
-            self.turn().await?;
-            while matches!(self.follow().await?, Next::Call) {}
+            self.wait_for_request().await?;
+            while matches!(self.follow().await?, NextStep::Call) {}
         }
     }
 
-    /// Waits until the module wants the list, or discovery has moved.
-    async fn turn(&mut self) -> Result<(), ModuleGone> {
-        let wish = async { self.wishes.recv().await.is_ok().then_some(false) };
-        let moved = async { self.moves.recv().await.is_ok().then_some(true) };
-        match future::or(moved, wish).await {
+    /// Waits until the core requests the list or discovery has moved.
+    async fn wait_for_request(&mut self) -> Result<(), CoreStopped> {
+        let request = async { self.requests.recv().await.is_ok().then_some(false) };
+        let address_change = async { self.address_changes.recv().await.is_ok().then_some(true) };
+        match future::or(address_change, request).await {
             Some(false) => {}
-            Some(true) => self.moved().await?,
-            None => return Err(ModuleGone),
+            Some(true) => self.on_address_change().await?,
+            None => return Err(CoreStopped),
         }
         Ok(())
     }
 
-    /// Versions of the old discovery mean nothing to the new one, whether a call was out when it moved or not.
-    async fn moved(&mut self) -> Result<(), ModuleGone> {
+    /// Generations of the former discovery mean nothing to the new one, whether a call was in progress when
+    /// the address changed or not.
+    async fn on_address_change(&mut self) -> Result<(), CoreStopped> {
         self.shared.counters.list_moves.increment();
         (self.conn, self.discovery.generation, self.confirmed) = (None, None, false);
-        // What the module wished for was a call to the old one.
-        while self.wishes.try_recv().is_ok() {}
-        self.shared.core.send(CoreMessage::DiscoveryMoved).await.map_err(|_| ModuleGone)
+        // Requests that the core made before were for calls to the former discovery.
+        while self.requests.try_recv().is_ok() {}
+        self.shared.core.send(CoreMessage::DiscoveryMoved).await.map_err(|_| CoreStopped)
     }
 
-    async fn follow(&mut self) -> Result<Next, ModuleGone> {
-        let asked = self.shared.clock.now();
-        match self.hear(asked).await {
-            Heard::Message(message) => self.message(message).await,
-            Heard::Moved => {
-                self.moved().await?;
-                Ok(Next::Call)
+    async fn follow(&mut self) -> Result<NextStep, CoreStopped> {
+        let called_at = self.shared.clock.now();
+        match self.next_event(called_at).await {
+            Event::Message(message) => self.on_message(message).await,
+            Event::DiscoveryMoved => {
+                self.on_address_change().await?;
+                Ok(NextStep::Call)
             }
-            Heard::Answer(Ok(list)) => self.answered(asked, list).await,
-            Heard::Answer(Err(failed)) => self.failed(asked, failed).await,
+            Event::Answer(Ok(list)) => self.on_answer(called_at, list).await,
+            Event::Answer(Err(failed)) => self.on_failure(called_at, failed).await,
         }
     }
 
-    /// Makes a call, and drops it for a message or a move.
-    async fn hear(&mut self, asked: Micros) -> Heard {
-        let moves = self.moves.clone();
-        let moved = async {
-            match moves.recv().await {
-                Ok(()) => Heard::Moved,
+    /// Makes a call, which is dropped when a message of a member or a new address of discovery arrives.
+    async fn next_event(&mut self, called_at: Micros) -> Event {
+        let address_changes = self.address_changes.clone();
+        let address_change = async {
+            match address_changes.recv().await {
+                Ok(()) => Event::DiscoveryMoved,
                 Err(_) => future::pending().await,
             }
         };
         let messages = self.messages.clone();
         let message = async {
             match messages.recv().await {
-                Ok(message) => Heard::Message(message),
+                Ok(message) => Event::Message(message),
                 Err(_) => future::pending().await,
             }
         };
-        let answer = async { Heard::Answer(self.call(asked).await) };
-        future::or(moved, future::or(answer, message)).await
+        let answer = async { Event::Answer(self.call(called_at).await) };
+        future::or(address_change, future::or(answer, message)).await
     }
 
-    async fn call(&mut self, asked: Micros) -> Result<Fetched, Failed> {
-        let stands_by =
-            self.role == ListRole::Follower && self.discovery.generation.is_some() && !self.behind;
-        if stands_by {
+    async fn call(&mut self, called_at: Micros) -> Result<FetchedList, FetchError> {
+        let receives_updates =
+            self.role == ListRole::Follower && self.discovery.generation.is_some() && !self.missed_update;
+        if receives_updates {
             return future::pending().await;
         }
         self.calls += 1;
-        let wait = self.wait();
-        let answer_by = asked.plus(wait).plus(self.patience());
+        let wait = self.watch_time();
+        let answer_by = called_at.plus(wait).plus(self.grace());
         let call = Call {
             wait,
             clock: &self.shared.clock,
             discovery: &self.discovery,
-            connect_by: asked.plus(self.shared.connect_timeout).min(answer_by),
+            connect_by: called_at.plus(self.shared.connect_timeout).min(answer_by),
             answer_by,
             address: self.shared.discovery.get(),
             role: self.role,
@@ -172,81 +179,84 @@
         call.fetch(&mut self.conn).await
     }
 
-    /// How long the next call waits for news. After a start, a failure or a move the first one does not: whether it was
-    /// answered shows soon, while a watch that falls silent looks like one without news until its wait is over. Where many
-    /// share discovery that is one call more from each at the moment in which all of them come, so a watch has to fall
-    /// silent twice before. A start where lists are pushed sends nothing until it is told the first one: that call never
-    /// waits.
-    fn wait(&self) -> Micros {
-        let holds_calls = self.discovery.lists_pushed && !self.answered_once;
-        let trusts = self.confirmed || self.discovery.large_fleet && self.silences < 2 && !holds_calls;
-        let waits = trusts && self.role != ListRole::Follower && self.discovery.generation.is_some();
-        if waits { self.discovery.watch_wait } else { Micros(0) }
+    /// How long the next call waits for changes. The first one after a start, a failure or an address
+    /// change does not wait: whether it is answered shows soon, while a silent watch looks like one without
+    /// changes until its wait is over. Where many forwarders share discovery, that is one more call from
+    /// each at the moment in which all of them call, so there a watch has to fall silent twice before.
+    /// Where lists are pushed, a start sends no messages until it has received the first list, so that call
+    /// never waits.
+    fn watch_time(&self) -> Micros {
+        let sends_nothing_yet = self.discovery.lists_pushed && !self.answered_once;
+        let may_wait =
+            self.confirmed || self.discovery.large_fleet && self.silent_calls < 2 && !sends_nothing_yet;
+        let watches = may_wait && self.role != ListRole::Follower && self.discovery.generation.is_some();
+        if watches { self.discovery.watch_wait } else { Micros(0) }
     }
 
-    /// What a call may take beyond its wait: longer for a discovery that may be slow, and no longer than a call or two need
-    /// that come behind it.
-    fn patience(&self) -> Micros {
-        if self.silences > 0 { Micros(GRACE.0 * 2) } else { GRACE }
+    /// Time that a call may take beyond its wait: twice as long after a silent call, since discovery may be
+    /// slow, but no more than one or two further calls need.
+    fn grace(&self) -> Micros {
+        if self.silent_calls > 0 { Micros(ANSWER_GRACE.0 * 2) } else { ANSWER_GRACE }
     }
 
-    /// What another instance has to say of the list.
-    async fn message(&mut self, message: ToList) -> Result<Next, ModuleGone> {
-        let news = match message {
+    /// Handles a message about the list from another instance.
+    async fn on_message(&mut self, message: ToList) -> Result<NextStep, CoreStopped> {
+        let update = match message {
             ToList::Role(role) => {
                 self.role = role;
-                return Ok(Next::Call);
+                return Ok(NextStep::Call);
             }
-            ToList::Update(news) => news,
+            ToList::Update(update) => update,
         };
-        let held = self.discovery.generation;
-        if self.role != ListRole::Follower || held == Some(news.generation) {
-            return Ok(Next::Call);
+        let current = self.discovery.generation;
+        if self.role != ListRole::Follower || current == Some(update.generation) {
+            return Ok(NextStep::Call);
         }
-        let follows = held == Some(news.previous_generation) && !news.body.is_empty();
-        let list = follows.then(|| list::parse(&news.body, &self.discovery.names).ok()).flatten();
-        let Some(list) = list.filter(|l| l.generation == news.generation) else {
-            self.behind = true;
-            return Ok(Next::Call);
+        let continues_list = current == Some(update.previous_generation) && !update.body.is_empty();
+        let list = continues_list.then(|| list::parse(&update.body, &self.discovery.names).ok()).flatten();
+        let Some(list) = list.filter(|l| l.generation == update.generation) else {
+            self.missed_update = true;
+            return Ok(NextStep::Call);
         };
         self.shared.counters.list_told.increment();
         self.discovery.generation = Some(list.generation);
-        self.shared.core.send(CoreMessage::EndpointList(list)).await.map_err(|_| ModuleGone)?;
-        Ok(Next::Call)
+        self.shared.core.send(CoreMessage::EndpointList(list)).await.map_err(|_| CoreStopped)?;
+        Ok(NextStep::Call)
     }
 
-    async fn answered(&mut self, asked: Micros, list: Fetched) -> Result<Next, ModuleGone> {
-        // A version below the one that was asked from is another service's: what was held is not a part of it.
-        if !list.whole && self.discovery.generation.is_some_and(|held| list.generation < held) {
+    async fn on_answer(&mut self, called_at: Micros, list: FetchedList) -> Result<NextStep, CoreStopped> {
+        // A generation below the one in use comes from another service: these changes do not apply to the
+        // list in use.
+        if !list.complete && self.discovery.generation.is_some_and(|current| list.generation < current) {
             self.discovery.generation = None;
-            return Ok(Next::Call);
+            return Ok(NextStep::Call);
         }
         self.shared.counters.list_answers.increment();
-        // It has what it wished for.
-        while self.wishes.try_recv().is_ok() {}
+        // The response serves all requests that the core has made so far.
+        while self.requests.try_recv().is_ok() {}
         self.log_answer(&list);
-        let waited = self.wait() > Micros(0);
-        (self.behind, self.complaint, self.failures) = (false, String::new(), 0);
-        (self.confirmed, self.answered_once, self.silences) = (true, true, 0);
+        let was_watch = self.watch_time() > Micros(0);
+        (self.missed_update, self.last_refusal, self.failures) = (false, String::new(), 0);
+        (self.confirmed, self.answered_once, self.silent_calls) = (true, true, 0);
         self.answered_at = self.shared.clock.now();
         self.shared.list_answered_at.set(self.answered_at);
-        let at_once = self.answered_at.since(asked) < ANSWERED_AT_ONCE && waited;
+        let unwaited = self.answered_at.since(called_at) < UNWAITED_ANSWER_TIME && was_watch;
         if let (ListRole::Owner(epoch), Some(peers)) = (self.role, &self.shared.peers) {
-            let from = self.discovery.generation.unwrap_or(list.generation);
-            let news =
-                ListUpdate { epoch, previous_generation: from, generation: list.generation, body: list.text };
-            let _ = peers.try_send(ToPeers::ListUpdate(news));
+            let previous_generation = self.discovery.generation.unwrap_or(list.generation);
+            let update =
+                ListUpdate { epoch, previous_generation, generation: list.generation, body: list.text };
+            let _ = peers.try_send(ToPeers::ListUpdate(update));
         }
         self.discovery.generation = Some(list.generation);
-        self.pass(list.generation, list.whole, list.entries).await?;
-        // Whatever makes it answer at once, all forwarders share it.
-        if at_once {
-            Timer::after(PAUSE).await;
+        self.pass_to_core(list.generation, list.complete, list.entries).await?;
+        // Whatever makes discovery answer at once affects all forwarders: slow down.
+        if unwaited {
+            Timer::after(UNWAITED_ANSWER_DELAY).await;
         }
-        Ok(Next::Call)
+        Ok(NextStep::Call)
     }
 
-    fn log_answer(&self, list: &Fetched) {
+    fn log_answer(&self, list: &FetchedList) {
         let (call, generation, held) = (self.calls, list.generation, self.discovery.generation);
         let (failures, discovery) = (self.failures, self.shared.discovery.get());
         let unanswered_ms = self.shared.clock.now().since(self.answered_at).0 / 1000;
@@ -265,69 +275,77 @@
         }
     }
 
-    async fn failed(&mut self, asked: Micros, failed: Failed) -> Result<Next, ModuleGone> {
+    async fn on_failure(&mut self, called_at: Micros, failed: FetchError) -> Result<NextStep, CoreStopped> {
         let counters = &self.shared.counters;
         counters.list_failures.increment();
         (self.conn, self.confirmed) = (None, false);
         self.failures += 1;
         let unanswered_ms = self.shared.clock.now().since(self.answered_at).0 / 1000;
-        let longest = counters.list_unanswered_most_ms.get().max(unanswered_ms);
-        counters.list_unanswered_most_ms.set(longest as usize);
-        // What a watch that has fallen silent misses counts as told in half a second: it is opened anew at once. Those
-        // of a fleet were not all opened at one moment, so neither are these. One that is silent again is taken for a
-        // service in trouble.
-        let silent = matches!(failed, Failed::Silent(_));
-        let again = silent && self.silences == 0;
-        self.silences = if silent { self.silences + 1 } else { 0 };
-        let at_once = self.shared.clock.now().since(asked) < FAILED_AT_ONCE;
-        let why = self.log_failure(failed, unanswered_ms);
-        if again {
-            return Ok(Next::Call);
+        let longest_ms = counters.list_unanswered_most_ms.get().max(unanswered_ms);
+        counters.list_unanswered_most_ms.set(longest_ms as usize);
+        // Changes that a silent watch misses count as known half a second later, so it is opened again at
+        // once. The watches of a fleet were not all opened at the same moment, so the new ones are not
+        // either. A second silence is taken for a service in trouble.
+        let fell_silent = matches!(failed, FetchError::Silent(_));
+        let retry_now = fell_silent && self.silent_calls == 0;
+        self.silent_calls = if fell_silent { self.silent_calls + 1 } else { 0 };
+        let immediate = self.shared.clock.now().since(called_at) < IMMEDIATE_FAILURE_TIME;
+        let reason = self.log_failure(failed, unanswered_ms);
+        if retry_now {
+            return Ok(NextStep::Call);
         }
         self.shared
             .core
-            .send(CoreMessage::ListFailed { reason: why, immediate: at_once })
+            .send(CoreMessage::ListFailed { reason, immediate })
             .await
-            .map_err(|_| ModuleGone)?;
-        Ok(Next::WaitForModule)
+            .map_err(|_| CoreStopped)?;
+        Ok(NextStep::WaitForRequest)
     }
 
-    fn log_failure(&mut self, failed: Failed, unanswered_ms: u64) -> String {
+    fn log_failure(&mut self, failed: FetchError, unanswered_ms: u64) -> String {
         let (call, failures, discovery) = (self.calls, self.failures, self.shared.discovery.get());
         match failed {
-            Failed::Lost(why) | Failed::Silent(why) => {
-                tracing::warn!(call, %discovery, failures, unanswered_ms, "list: {why}");
-                why
+            FetchError::Unavailable(reason) | FetchError::Silent(reason) => {
+                tracing::warn!(
+                    call,
+                    %discovery,
+                    failures,
+                    unanswered_ms,
+                    "list: cannot fetch the endpoint list: {reason}"
+                );
+                reason
             }
-            // A list that is too long stays so for a while: one line tells.
-            Failed::TooLong(why) => {
+            // A list that is too long stays so for a while: its reason is logged once.
+            FetchError::TooLong(reason) => {
                 self.shared.counters.list_refused.increment();
-                if self.complaint != why {
-                    tracing::error!("list: {why}; the list that was held stays");
+                if self.last_refusal != reason {
+                    tracing::error!("list: {reason}; the current list stays in use");
                 }
-                self.complaint.clone_from(&why);
-                why
+                self.last_refusal.clone_from(&reason);
+                reason
             }
         }
     }
 
-    /// Hands a list to the module in parts, so that no turn of it takes long.
-    async fn pass(&self, generation: u64, whole: bool, entries: StagedList) -> Result<(), ModuleGone> {
+    /// Passes a list to the core in parts, so that none of them keeps the core busy for long.
+    async fn pass_to_core(
+        &self, generation: u64, complete: bool, entries: StagedList,
+    ) -> Result<(), CoreStopped> {
         let send = async |part| {
-            self.shared.core.send(CoreMessage::EndpointListPart(part)).await.map_err(|_| ModuleGone)
+            self.shared.core.send(CoreMessage::EndpointListPart(part)).await.map_err(|_| CoreStopped)
         };
-        if whole {
+        if complete {
             send(ListPart::Begin).await?;
         }
         for block in entries.into_blocks() {
             send(ListPart::Entries(block)).await?;
             future::yield_now().await;
         }
-        let mut swept = !whole;
-        while !swept {
+        let mut sweep_done = !complete;
+        while !sweep_done {
             let (reply, done) = bounded(1);
             send(ListPart::Sweep(reply)).await?;
-            swept = done.recv().await.map_err(|_| ModuleGone)?;
+            sweep_done = done.recv().await.map_err(|_| CoreStopped)?;
         }
         send(ListPart::End(generation)).await
     }
--- a/daemon/src/list/mod.rs
+++ b/daemon/src/list/mod.rs
@@ -1,4 +1,5 @@
-//! The list of endpoints: follows discovery for as long as that works, and says when it does not.
+//! The endpoint list: follows discovery, or a DNS zone, and reports to the core when the list cannot be
+//! refreshed.
 
 pub mod dns;
 mod fetch;
@@ -15,55 +16,63 @@
 use onyxrock_roster::{Endpoint, EntryBlock};
 use std::time::Duration;
 
-/// A list comes in pieces; so much of it is read at once.
-const PIECE: usize = 64 * 1024;
-/// Records that it looks at in one turn for what a whole list no longer names.
+/// Bytes of a list that are read at once.
+const READ_BLOCK_BYTES: usize = 64 * 1024;
+/// Endpoints that the core checks in one turn when it removes those that a complete list no longer names.
 pub const SWEEP_BATCH_RECORDS: usize = 2048;
-/// What a call may take beyond the wait that it asks for.
-const GRACE: Micros = Micros(1_500_000);
-/// A watch that falls silent shows after its wait and the grace, and then calls that are refused have to fit into the 6 s
-/// in which a change counts as known.
+/// Time that a call may take beyond the wait that it asks for.
+const ANSWER_GRACE: Micros = Micros(1_500_000);
+/// Longest wait of a watch. A silent watch shows after its wait and `ANSWER_GRACE`; calls that are refused
+/// then have to fit into the 6 s in which a change counts as known.
 pub const MAX_WATCH_WAIT: Micros = Micros(3_000_000);
-/// A watch goes on if the next call comes within 200 ms.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a watch that was answered at once. A watch counts as continued if the next call comes within
+/// 200 ms.
+const UNWAITED_ANSWER_DELAY: Duration = Duration::from_millis(50);
 
-/// How discovery is asked.
+/// How to call discovery.
 pub struct DiscoveryParams {
+    /// Names of zones and kinds that entries may use.
     pub names: NameIndex,
-    /// The version that is held; none before the first list. Versions begin at 0, which is not the same. The list
-    /// that a start finds in the file may have been told by another discovery: its version means nothing here.
+    /// Generation of the list in use; `None` before the first list, since generations begin at 0. A cached
+    /// list that a start reads from the file may come from another discovery, whose generations mean nothing
+    /// to this one.
     pub generation: Option<u64>,
-    /// How long a call may wait for news. Shorter than discovery would allow: on a connection that has gone
-    /// silent nothing else tells that news is missed.
+    /// How long a call may wait for changes. It is shorter than discovery would allow: on a connection that
+    /// has gone silent, nothing else shows that changes are missed.
     pub watch_wait: Micros,
-    /// So many forwarders ask that what each asks at one moment adds up.
+    /// So many forwarders share discovery that the calls that all of them make at one moment add up.
     pub large_fleet: bool,
-    /// Lists are pushed: a start holds its calls until it is told the first one.
+    /// Lists are pushed: after a start the forwarder sends no messages until it has received the first
+    /// list.
     pub lists_pushed: bool,
+    /// Limits of a list.
     pub bounds: ListLimits,
 }
 
-/// One part of a list that is too long for one turn of the module.
+/// One part of a list that is too long for a single message to the core.
 #[derive(Debug)]
 pub enum ListPart {
-    /// A whole list follows.
+    /// Parts of a complete list follow.
     Begin,
+    /// Entries to add or to change.
     Entries(EntryBlock),
-    /// Look for what it no longer names; false if there is more to look at.
+    /// Remove endpoints that the complete list no longer names; replies false while there are more to
+    /// check.
     Sweep(Sender<bool>),
+    /// The list is complete; its generation.
     End(u64),
 }
 
-/// An entry of the list, as the table takes it.
-pub fn roster_endpoint(l: &ListedEndpoint) -> Endpoint<'_> {
+/// An entry of the list in the form that the roster stores.
+pub fn roster_endpoint(listed: &ListedEndpoint) -> Endpoint<'_> {
     Endpoint {
-        name: &l.name,
-        address: l.address,
-        zone: &l.zone,
-        kind: u16::try_from(l.entry.kind.0).unwrap_or(u16::MAX),
-        destination: l.entry.destination.0,
-        weight: l.entry.weight as f32,
-        state: l.entry.state,
+        name: &listed.name,
+        address: listed.address,
+        zone: &listed.zone,
+        kind: u16::try_from(listed.entry.kind.0).unwrap_or(u16::MAX),
+        destination: listed.entry.destination.0,
+        weight: listed.entry.weight as f32,
+        state: listed.entry.state,
     }
 }
 
--- a/daemon/src/list/tests.rs
+++ b/daemon/src/list/tests.rs
@@ -1,4 +1,4 @@
-//! The list is followed, shown with a discovery service and a module that the test plays.
+//! Following the endpoint list, with the test in the place of discovery and of the core.
 
 use super::*;
 use crate::core_actor::CoreMessage;
@@ -13,68 +13,64 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-const SOON: Duration = Duration::from_millis(2500);
+/// How long a test waits for a request or a message.
+const EVENT_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// The list's actor between a discovery and a module that the test plays.
-struct Rig {
+/// The actor that follows the list, between a discovery and a core that the test plays.
+struct Harness {
     shared: Rc<SharedState>,
     messages: Receiver<CoreMessage>,
-    wishes: Sender<()>,
-    moves: Sender<()>,
-    _roles: Sender<ToList>,
+    requests: Sender<()>,
+    address_changes: Sender<()>,
+    _list_messages: Sender<ToList>,
 }
 
-/// A discovery of which nothing is held.
-fn quiet() -> DiscoveryParams {
+/// Parameters without a list in use.
+fn params_without_list() -> DiscoveryParams {
     let (names, bounds) = (NameIndex::default(), onyxrock_config::idle::ListLimits::default());
-    let (shared_by_many, pushed, wait) = (false, false, Micros(10_000));
-    DiscoveryParams {
-        names,
-        generation: None,
-        watch_wait: wait,
-        large_fleet: shared_by_many,
-        lists_pushed: pushed,
-        bounds,
-    }
+    let (large_fleet, lists_pushed, watch_wait) = (false, false, Micros(10_000));
+    DiscoveryParams { names, generation: None, watch_wait, large_fleet, lists_pushed, bounds }
 }
 
-impl Rig {
-    fn new(at: SocketAddr) -> Rig {
-        Rig::waiting(at, Micros(10_000))
+impl Harness {
+    fn new(address: SocketAddr) -> Harness {
+        Harness::waiting(address, Micros(10_000))
     }
-    fn waiting(at: SocketAddr, wait: Micros) -> Rig {
-        Rig::with(at, DiscoveryParams { watch_wait: wait, ..quiet() })
+    fn waiting(address: SocketAddr, watch_wait: Micros) -> Harness {
+        Harness::with(address, DiscoveryParams { watch_wait, ..params_without_list() })
     }
-    fn with(at: SocketAddr, discovery: DiscoveryParams) -> Rig {
-        let (module, messages) = bounded(64);
-        let shared = SharedState::for_test(module);
-        shared.discovery.set(at);
-        let ((wishes, wished), (moves, moved), (_roles, roles)) = (bounded(4), bounded(1), bounded(4));
-        shared.executor.spawn(run(shared.clone(), discovery, wished, moved, roles)).detach();
-        // That of a start, and the module's own: one answer is what both want.
-        (0..2).for_each(|_| wishes.try_send(()).unwrap());
-        Rig { shared, messages, wishes, moves, _roles }
+    fn with(address: SocketAddr, discovery: DiscoveryParams) -> Harness {
+        let (core, messages) = bounded(64);
+        let shared = SharedState::for_test(core);
+        shared.discovery.set(address);
+        let ((requests, list_requests), (address_changes, moves), (_list_messages, list_messages)) =
+            (bounded(4), bounded(1), bounded(4));
+        shared.executor.spawn(run(shared.clone(), discovery, list_requests, moves, list_messages)).detach();
+        // A start requests the list twice, once itself and once through the core: one response serves both.
+        (0..2).for_each(|_| requests.try_send(()).unwrap());
+        Harness { shared, messages, requests, address_changes, _list_messages }
     }
-    /// The next connection that comes, and what is asked over it. None if nothing comes.
-    fn asked(&self, discovery: &TcpListener) -> Option<(TcpStream, String)> {
-        let (asked, question) = bounded(1);
+    /// The next connection to discovery and the request on it; `None` if none arrives in time.
+    fn next_request(&self, discovery: &TcpListener) -> Option<(TcpStream, String)> {
+        let (accepted, request) = bounded(1);
         let discovery = discovery.try_clone().unwrap();
         std::thread::spawn(move || {
             let mut stream = discovery.accept().unwrap().0;
-            let question = read(&mut stream);
-            asked.try_send((stream, question))
+            let request = read(&mut stream);
+            accepted.try_send((stream, request))
         });
-        self.within(async { question.recv().await.ok() })
+        self.within(async { request.recv().await.ok() })
     }
-    fn within<T>(&self, what: impl Future<Output = Option<T>>) -> Option<T> {
-        let late = async {
-            Timer::after(SOON).await;
+    /// Runs the actor until the event or a timeout.
+    fn within<T>(&self, event: impl Future<Output = Option<T>>) -> Option<T> {
+        let timeout = async {
+            Timer::after(EVENT_TIMEOUT).await;
             None
         };
-        async_io::block_on(self.shared.executor.run(future::or(what, late)))
+        async_io::block_on(self.shared.executor.run(future::or(event, timeout)))
     }
-    /// The version of the list that the module gets, or none where it hears that there is none.
-    fn heard(&self) -> Option<u64> {
+    /// Generation of the next list that the core receives; `None` if the core is told that the call failed.
+    fn next_generation(&self) -> Option<u64> {
         self.within(async {
             loop {
                 match self.messages.recv().await.ok()? {
@@ -88,142 +84,148 @@
     }
 }
 
+/// Reads the head of a request.
 fn read(stream: &mut TcpStream) -> String {
-    let (mut said, mut byte) = (String::new(), [0]);
-    while !said.ends_with("\r\n\r\n") && stream.read_exact(&mut byte).is_ok() {
-        said.push(byte[0].into());
+    let (mut received, mut byte) = (String::new(), [0]);
+    while !received.ends_with("\r\n\r\n") && stream.read_exact(&mut byte).is_ok() {
+        received.push(byte[0].into());
     }
-    said
+    received
 }
 
-fn tell(stream: &mut TcpStream, generation: u64) {
+/// Answers with a complete list that is empty.
+fn send_list(stream: &mut TcpStream, generation: u64) {
     let body = format!("{{\"generation\":{generation},\"reset\":true,\"instances\":[]}}");
     write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).unwrap();
 }
 
+/// A listener in the place of discovery.
 fn discovery() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap();
-    (listener, at)
+    let address = listener.local_addr().unwrap();
+    (listener, address)
 }
 
-/// What it misses counts as told half a second later: nobody waits for the module's turn, and it is asked for what has
-/// changed since. Silent again, it is the module that says when.
+/// Changes that a silent watch misses count as known half a second later: the watch is opened again from
+/// the current generation, without a request of the core. After a second silence the core decides when to
+/// call again.
 #[rstest]
 #[case::no_head("")]
 #[case::half_a_head("HTTP/1.1 200 OK\r\nContent-")]
 #[case::half_a_body("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"generation\":8")]
-fn a_watch_that_falls_silent_is_opened_anew(#[case] said: &str) {
-    let (listener, at) = discovery();
-    let rig = Rig::new(at);
-    let (mut stream, question) = rig.asked(&listener).unwrap();
-    assert!(!question.contains("since"), "{question}");
-    tell(&mut stream, 7);
-    assert_eq!(rig.heard(), Some(7));
-    async_io::block_on(rig.shared.executor.run(Timer::after(Duration::from_millis(100))));
+fn a_silent_watch_is_opened_again_at_once_and_only_once(#[case] partial_response: &str) {
+    let (listener, address) = discovery();
+    let harness = Harness::new(address);
+    let (mut stream, request) = harness.next_request(&listener).unwrap();
+    assert!(!request.contains("since"), "{request}");
+    send_list(&mut stream, 7);
+    assert_eq!(harness.next_generation(), Some(7));
+    async_io::block_on(harness.shared.executor.run(Timer::after(Duration::from_millis(100))));
     assert!(read(&mut stream).contains("since=7"));
-    stream.write_all(said.as_bytes()).unwrap();
-    let (second, question) = rig.asked(&listener).expect("it is opened anew");
-    assert!(question.contains("since=7"), "{question}");
-    assert_eq!(rig.heard(), None, "that one is silent too");
-    assert!(rig.asked(&listener).is_none(), "the module says when");
+    stream.write_all(partial_response.as_bytes()).unwrap();
+    let (second, request) = harness.next_request(&listener).expect("the watch is opened again");
+    assert!(request.contains("since=7"), "{request}");
+    assert_eq!(harness.next_generation(), None, "the second watch is silent too");
+    assert!(harness.next_request(&listener).is_none(), "the core decides when to call again");
     drop((stream, second));
 }
 
-/// Each piece comes in time, and the whole never would.
+/// Each piece arrives in time, but the list would never be complete.
 #[test]
-fn a_list_that_comes_by_drops_is_as_good_as_silence() {
-    let (listener, at) = discovery();
-    let rig = Rig::new(at);
-    let (mut stream, _) = rig.asked(&listener).unwrap();
+fn a_list_that_trickles_in_counts_as_silence() {
+    let (listener, address) = discovery();
+    let harness = Harness::new(address);
+    let (mut stream, _) = harness.next_request(&listener).unwrap();
     std::thread::spawn(move || {
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n");
         while stream.write_all(b" ").is_ok() {
             std::thread::sleep(Duration::from_millis(200));
         }
     });
-    assert!(rig.asked(&listener).is_some(), "it is asked for anew");
+    assert!(harness.next_request(&listener).is_some(), "the list is requested again");
 }
 
-/// It was not a call that may wait: nobody has heard it.
+/// A connect is not part of a watch's wait: discovery has not received the call.
 #[test]
-fn a_connection_that_never_comes_up_does_not_use_the_wait() {
-    let held = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
-    bind(&held, &SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
-    listen(&held, 0).unwrap();
-    let listener = TcpListener::from(held);
-    let at = listener.local_addr().unwrap();
-    // The row of those that wait to be accepted is full: what comes now is not answered.
-    let _first = TcpStream::connect(at).unwrap();
-    let _second = TcpStream::connect_timeout(&at, Duration::from_millis(200));
-    let rig = Rig::waiting(at, Micros(20_000_000));
-    let failed = rig.within(async { rig.messages.recv().await.ok() });
+fn a_connect_without_response_fails_before_the_wait_ends() {
+    let listening = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
+    bind(&listening, &SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
+    listen(&listening, 0).unwrap();
+    let listener = TcpListener::from(listening);
+    let address = listener.local_addr().unwrap();
+    // The accept queue is full: a further connect gets no response.
+    let _first = TcpStream::connect(address).unwrap();
+    let _second = TcpStream::connect_timeout(&address, Duration::from_millis(200));
+    let harness = Harness::waiting(address, Micros(20_000_000));
+    let failed = harness.within(async { harness.messages.recv().await.ok() });
     assert!(
-        matches!(failed, Some(CoreMessage::ListFailed { reason: why, .. }) if why == "no connection in time")
+        matches!(failed, Some(CoreMessage::ListFailed { reason, .. }) if reason == "no connection in time")
     );
 }
 
-/// The old discovery is gone, the module has not wished yet, and there is a new one: whole, for versions of the old
-/// one mean nothing to it.
+/// Discovery has moved before the core requests the list again. The new service is asked for the complete
+/// list, since generations of the old one mean nothing to it.
 #[test]
-fn where_discovery_moves_after_a_failure_the_whole_list_is_asked_for() {
-    let ((old, at), (new, there)) = (discovery(), discovery());
-    let rig = Rig::new(at);
-    let (mut stream, _) = rig.asked(&old).unwrap();
-    tell(&mut stream, 41);
-    assert_eq!(rig.heard(), Some(41));
+fn after_a_move_of_discovery_the_complete_list_is_requested() {
+    let ((old, address), (new, new_address)) = (discovery(), discovery());
+    let harness = Harness::new(address);
+    let (mut stream, _) = harness.next_request(&old).unwrap();
+    send_list(&mut stream, 41);
+    assert_eq!(harness.next_generation(), Some(41));
     drop((stream, old));
-    assert_eq!(rig.heard(), None);
-    rig.shared.discovery.set(there);
-    rig.moves.try_send(()).unwrap();
-    let (mut stream, question) = rig.asked(&new).unwrap();
-    assert!(!question.contains("since"), "{question}");
-    tell(&mut stream, 3);
-    assert_eq!(rig.heard(), Some(3));
-    drop(rig.wishes);
+    assert_eq!(harness.next_generation(), None);
+    harness.shared.discovery.set(new_address);
+    harness.address_changes.try_send(()).unwrap();
+    let (mut stream, request) = harness.next_request(&new).unwrap();
+    assert!(!request.contains("since"), "{request}");
+    send_list(&mut stream, 3);
+    assert_eq!(harness.next_generation(), Some(3));
+    drop(harness.requests);
 }
 
-/// A watch that falls silent looks like one without news until its wait is over: what comes behind a failure asks for what
-/// there is now, and waits only once that was answered.
+/// A silent watch looks like one without changes until its wait is over. So the first call after a failure
+/// does not wait, and the next one waits only once that call was answered.
 #[test]
-fn behind_a_failure_the_first_call_does_not_wait() {
-    let (listener, at) = discovery();
-    let rig = Rig::waiting(at, Micros(20_000_000));
-    let (mut stream, _) = rig.asked(&listener).unwrap();
-    tell(&mut stream, 7);
-    assert_eq!(rig.heard(), Some(7));
-    async_io::block_on(rig.shared.executor.run(Timer::after(Duration::from_millis(100))));
-    assert!(read(&mut stream).contains("since=7&timeout_ms=20000"), "it waits for news");
+fn the_first_call_after_a_failure_does_not_wait() {
+    let (listener, address) = discovery();
+    let harness = Harness::waiting(address, Micros(20_000_000));
+    let (mut stream, _) = harness.next_request(&listener).unwrap();
+    send_list(&mut stream, 7);
+    assert_eq!(harness.next_generation(), Some(7));
+    async_io::block_on(harness.shared.executor.run(Timer::after(Duration::from_millis(100))));
+    assert!(read(&mut stream).contains("since=7&timeout_ms=20000"), "the call waits for changes");
     drop(stream);
-    assert_eq!(rig.heard(), None);
-    rig.wishes.try_send(()).unwrap();
-    let (_silent, question) = rig.asked(&listener).unwrap();
-    assert!(question.contains("since=7&timeout_ms=0"), "{question}");
-    // Silent, it is asked again long before a wait would have ended.
-    let (mut stream, question) = rig.asked(&listener).expect("silence shows soon");
-    assert!(question.contains("since=7&timeout_ms=0"), "{question}");
-    tell(&mut stream, 7);
-    assert_eq!(rig.heard(), Some(7));
-    async_io::block_on(rig.shared.executor.run(Timer::after(Duration::from_millis(100))));
+    assert_eq!(harness.next_generation(), None);
+    harness.requests.try_send(()).unwrap();
+    let (_silent, request) = harness.next_request(&listener).unwrap();
+    assert!(request.contains("since=7&timeout_ms=0"), "{request}");
+    // A silent call is repeated long before a wait would have ended.
+    let (mut stream, request) = harness.next_request(&listener).expect("a silent call is repeated soon");
+    assert!(request.contains("since=7&timeout_ms=0"), "{request}");
+    send_list(&mut stream, 7);
+    assert_eq!(harness.next_generation(), Some(7));
+    async_io::block_on(harness.shared.executor.run(Timer::after(Duration::from_millis(100))));
     assert!(read(&mut stream).contains("since=7&timeout_ms=20000"));
 }
 
-/// A start that holds an old list, in a fleet whose calls add up: it waits for news, but where lists are pushed, since it sends
-/// nothing until it is told the first one.
+/// A start with a cached list in a fleet whose calls add up: its first call waits for changes, except where
+/// lists are pushed, since such a forwarder sends no messages until it has received the first list.
 #[rstest]
-#[case::asked_for(false, "since=7&timeout_ms=20000")]
-#[case::pushed(true, "since=7&timeout_ms=0")]
-fn the_first_call_of_a_start_in_a_large_fleet(#[case] pushed: bool, #[case] asks: &str) {
-    let (listener, at) = discovery();
-    let wait = Micros(20_000_000);
-    let held = DiscoveryParams {
+#[case::without_pushes(false, "since=7&timeout_ms=20000")]
+#[case::lists_pushed(true, "since=7&timeout_ms=0")]
+fn the_first_call_in_a_large_fleet_waits_unless_lists_are_pushed(
+    #[case] lists_pushed: bool, #[case] query: &str,
+) {
+    let (listener, address) = discovery();
+    let watch_wait = Micros(20_000_000);
+    let params = DiscoveryParams {
         generation: Some(7),
         large_fleet: true,
-        lists_pushed: pushed,
-        watch_wait: wait,
-        ..quiet()
+        lists_pushed,
+        watch_wait,
+        ..params_without_list()
     };
-    let rig = Rig::with(at, held);
-    let (_stream, question) = rig.asked(&listener).unwrap();
-    assert!(question.contains(asks), "{question}");
+    let harness = Harness::with(address, params);
+    let (_stream, request) = harness.next_request(&listener).unwrap();
+    assert!(request.contains(query), "{request}");
 }
--- a/daemon/src/net/buffer/tests.rs
+++ b/daemon/src/net/buffer/tests.rs
@@ -1,11 +1,11 @@
-//! The buffer of a connection, and writing all of it.
+//! The read buffer of a connection, and `write_fully`.
 
 use super::*;
 use futures_lite::future::block_on;
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// Every other call is interrupted, and none takes or gives more than a byte.
+/// A stream of which every other call is interrupted, and that reads or writes at most one byte a call.
 #[derive(Default)]
 struct Interrupted {
     bytes: Vec<u8>,
@@ -13,28 +13,30 @@
 }
 
 impl Interrupted {
-    fn is_hit(&mut self) -> bool {
+    fn interrupts(&mut self) -> bool {
         self.calls += 1;
         self.calls % 2 == 1
     }
 }
 
 impl AsyncRead for Interrupted {
-    fn poll_read(mut self: Pin<&mut Self>, _: &mut Context<'_>, to: &mut [u8]) -> Poll<io::Result<usize>> {
-        if self.is_hit() {
+    fn poll_read(
+        mut self: Pin<&mut Self>, _: &mut Context<'_>, target: &mut [u8],
+    ) -> Poll<io::Result<usize>> {
+        if self.interrupts() {
             return Poll::Ready(Err(io::ErrorKind::Interrupted.into()));
         }
-        to[0] = self.bytes.remove(0);
+        target[0] = self.bytes.remove(0);
         Poll::Ready(Ok(1))
     }
 }
 
 impl AsyncWrite for Interrupted {
-    fn poll_write(mut self: Pin<&mut Self>, _: &mut Context<'_>, from: &[u8]) -> Poll<io::Result<usize>> {
-        if self.is_hit() {
+    fn poll_write(mut self: Pin<&mut Self>, _: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+        if self.interrupts() {
             return Poll::Ready(Err(io::ErrorKind::Interrupted.into()));
         }
-        self.bytes.push(from[0]);
+        self.bytes.push(bytes[0]);
         Poll::Ready(Ok(1))
     }
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -46,10 +48,10 @@
 }
 
 #[test]
-fn signals_and_short_calls_lose_nothing() {
+fn interrupted_and_short_calls_lose_no_bytes() {
     let mut stream = Interrupted::default();
-    block_on(write_whole(&mut stream, b"short")).unwrap();
-    let mut buffer = Buffer::new(STEP);
+    block_on(write_fully(&mut stream, b"short")).unwrap();
+    let mut buffer = Buffer::new(INITIAL_BYTES);
     while !stream.bytes.is_empty() {
         block_on(buffer.fill(&mut stream)).unwrap();
     }
@@ -57,16 +59,16 @@
 }
 
 #[test]
-fn grows_to_its_cap_and_makes_room_in_place() {
-    let input = vec![7u8; 3 * STEP];
-    let mut from = input.as_slice();
-    let mut b = Buffer::new(2 * STEP);
+fn grows_to_its_limit_and_reuses_consumed_space() {
+    let input = vec![7u8; 3 * INITIAL_BYTES];
+    let mut reader = input.as_slice();
+    let mut buffer = Buffer::new(2 * INITIAL_BYTES);
     let mut read = 0;
-    while read < 2 * STEP {
-        read += block_on(b.fill(&mut from)).unwrap();
+    while read < 2 * INITIAL_BYTES {
+        read += block_on(buffer.fill(&mut reader)).unwrap();
     }
-    assert!(block_on(b.fill(&mut from)).is_err(), "the cap holds");
-    b.consume(STEP);
-    assert_eq!(block_on(b.fill(&mut from)).unwrap(), STEP, "what was consumed is room again");
-    assert_eq!((b.data().len(), b.bytes.len()), (2 * STEP, 2 * STEP));
+    assert!(block_on(buffer.fill(&mut reader)).is_err(), "a full buffer does not grow over its limit");
+    buffer.consume(INITIAL_BYTES);
+    assert_eq!(block_on(buffer.fill(&mut reader)).unwrap(), INITIAL_BYTES, "consumed space is used again");
+    assert_eq!((buffer.data().len(), buffer.bytes.len()), (2 * INITIAL_BYTES, 2 * INITIAL_BYTES));
 }
--- a/daemon/src/net/http/client.rs
+++ b/daemon/src/net/http/client.rs
@@ -1,260 +1,292 @@
-//! One connection to a server: calls go over it one at a time.
+//! One HTTP connection to a server, which carries one call at a time.
 
-use super::{BODY_MOST, Framing, HEADERS, framing, header, seconds};
+use super::{Framing, MAX_BODY_BYTES, MAX_HEADERS, framing, header_value, parse_seconds};
 use crate::clock::Clock;
-use crate::net::buffer::{Buffer, write_whole};
+use crate::net::buffer::{Buffer, write_fully};
 use async_io::Async;
 use onyxrock::interface::Micros;
 use rustix::io::Errno;
 use std::io::{self, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// How long an answer that has begun may take to end.
-pub const TAIL: Micros = Micros(250_000);
-/// Answers of the kind "not yet" that may come ahead of one.
-const INTERIM_MOST: u32 = 32;
+/// Time limit for a response to end once it has begun.
+pub const RESPONSE_END_TIMEOUT: Micros = Micros(250_000);
+/// Most interim (1xx) responses that are skipped before the final one.
+const MAX_INTERIM_RESPONSES: u32 = 32;
 
+/// A connection to a server.
 #[derive(Debug)]
 pub struct Conn {
     stream: Async<TcpStream>,
     buffer: Buffer,
 }
 
-/// What an answer says of when to come again: the longest, where it says it more than once.
+/// The Retry-After of a response: the longest, where the header occurs more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Again {
-    Unsaid,
-    /// It says something that is no time.
-    Unread,
+pub enum RetryAfter {
+    /// There is no such header.
+    Absent,
+    /// The header is not a number of seconds.
+    Unreadable,
+    /// The time to wait.
     After(Micros),
 }
 
-impl Again {
-    fn read(headers: &[httparse::Header]) -> Again {
-        let said = headers.iter().filter(|h| h.name.eq_ignore_ascii_case("retry-after"));
-        let read = |value| seconds(std::str::from_utf8(value).ok()?.trim());
-        said.map(|h| read(h.value).map_or(Again::Unread, Again::After)).max().unwrap_or(Again::Unsaid)
+impl RetryAfter {
+    fn parse(headers: &[httparse::Header]) -> RetryAfter {
+        let values = headers.iter().filter(|h| h.name.eq_ignore_ascii_case("retry-after"));
+        let parse = |value| parse_seconds(std::str::from_utf8(value).ok()?.trim());
+        values
+            .map(|h| parse(h.value).map_or(RetryAfter::Unreadable, RetryAfter::After))
+            .max()
+            .unwrap_or(RetryAfter::Absent)
     }
 }
 
-/// The first line and headers of an answer, as far as anybody here asks for them.
+/// The head of a response, as far as callers use it.
 #[derive(Debug, Clone)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
-    pub again: Again,
+    pub retry_after: RetryAfter,
+    /// `X-No-Slot: 1`.
     pub no_slot: bool,
+    /// The X-Load header.
     pub load: Option<String>,
-    /// Where it ends; or why nothing says that.
+    /// Framing of the body, or why the head does not define it.
     framing: Result<Framing, &'static str>,
 }
 
-/// Why there is no answer.
+/// Why there is no response.
 #[derive(Debug)]
-pub enum Lost {
+pub enum ResponseError {
+    /// No byte of the response arrived in time.
     TimedOut,
-    /// The connection broke or ended before it.
-    Broken(io::Error),
-    /// Something else came in its place.
-    Spoilt(String),
+    /// The connection was closed or reset before the response.
+    Disconnected(io::Error),
+    /// Bytes arrived that are not a valid response.
+    Malformed(String),
 }
 
-impl Answer {
-    /// The server ends the connection with it.
+impl Response {
+    /// The server closes the connection after this response.
     pub fn closes(&self) -> bool {
         self.framing.is_ok_and(|f| f.close)
     }
 }
 
-/// A failed connect that tells of this machine and not of the one that was to be reached: no descriptor, port, buffer or
-/// route was there for it.
-pub fn is_local(e: &io::Error) -> bool {
-    let local =
+/// Whether a failed connect was caused by this machine and says nothing about the server: it had no file
+/// descriptor, port, buffer or route.
+pub fn is_local_failure(e: &io::Error) -> bool {
+    let local_errors =
         [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL, Errno::NETUNREACH];
-    e.raw_os_error().is_some_and(|code| local.iter().any(|errno| errno.raw_os_error() == code))
+    e.raw_os_error().is_some_and(|code| local_errors.iter().any(|errno| errno.raw_os_error() == code))
 }
 
-fn bad(text: &str) -> io::Error {
+fn invalid_data(text: &str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, text)
 }
 
-impl From<Lost> for io::Error {
-    fn from(lost: Lost) -> io::Error {
-        match lost {
-            Lost::TimedOut => io::ErrorKind::TimedOut.into(),
-            Lost::Broken(e) => e,
-            Lost::Spoilt(why) => bad(&why),
+impl From<ResponseError> for io::Error {
+    fn from(error: ResponseError) -> io::Error {
+        match error {
+            ResponseError::TimedOut => io::ErrorKind::TimedOut.into(),
+            ResponseError::Disconnected(e) => e,
+            ResponseError::Malformed(reason) => invalid_data(&reason),
         }
     }
 }
 
 impl Conn {
-    pub async fn open(to: SocketAddr, cap: usize) -> io::Result<Conn> {
-        let stream = Async::<TcpStream>::connect(to).await?;
+    /// Connects to `address`. A head of more than `buffer_limit` bytes is an error.
+    pub async fn open(address: SocketAddr, buffer_limit: usize) -> io::Result<Conn> {
+        let stream = Async::<TcpStream>::connect(address).await?;
         stream.get_ref().set_nodelay(true)?;
-        Ok(Conn { stream, buffer: Buffer::new(cap) })
+        Ok(Conn { stream, buffer: Buffer::new(buffer_limit) })
     }
 
-    /// The server has closed it or has said something unasked: no call may go over it, and what is there must
-    /// not answer the next one. Looking costs one call of the system.
+    /// Whether the server has closed the connection or has sent unexpected bytes, which must not be taken
+    /// for the next response. Such a connection carries no further call. The check costs one system call.
     pub fn is_stale(&self) -> bool {
         let silent = matches!(self.stream.get_ref().peek(&mut [0]),
             Err(e) if e.kind() == io::ErrorKind::WouldBlock);
         !silent || !self.buffer.is_empty()
     }
 
-    /// It waits for its next call.
-    pub fn rest_buffer(&mut self) {
+    /// Releases the buffer of a connection that is about to be idle.
+    pub fn release_buffer(&mut self) {
         self.buffer.release();
     }
 
+    /// Writes all bytes.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
-        write_whole(&mut self.stream, bytes).await
+        write_fully(&mut self.stream, bytes).await
     }
 
-    /// Writes what there is room for now, and says how much that was.
-    pub fn put(&mut self, bytes: &[u8]) -> io::Result<usize> {
+    /// Writes as much as the socket accepts without waiting; returns the number of bytes written.
+    pub fn try_write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         match self.stream.get_ref().write(bytes) {
             Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => Ok(0),
-            done => done,
+            result => result,
         }
     }
 
-    /// Comes to its end once there is room for more.
-    pub async fn room(&self) -> io::Result<()> {
+    /// Waits until the socket accepts more bytes.
+    pub async fn writable(&self) -> io::Result<()> {
         self.stream.writable().await
     }
 
-    /// All of the body is here already.
-    pub fn whole(&self, answer: &Answer) -> bool {
-        let length = answer.framing.ok().and_then(|f| f.length.filter(|_| !f.chunked));
+    /// Whether the whole body is in the buffer already.
+    pub fn body_is_buffered(&self, response: &Response) -> bool {
+        let length = response.framing.ok().and_then(|f| f.length.filter(|_| !f.chunked));
         length.is_some_and(|l| l <= self.buffer.data().len())
     }
 
-    /// Reads the head of the answer. Its first byte may come until `until`; what has begun must end soon, or it
-    /// is no answer. One whose first line says 200 is true, whatever follows that line.
-    pub async fn read_head(&mut self, clock: &Clock, until: Micros) -> Result<Answer, Lost> {
-        for _ in 0..=INTERIM_MOST {
+    /// Reads the head of the response. Its first byte may arrive until `deadline`; from then on the head
+    /// must be complete within `RESPONSE_END_TIMEOUT`. A first line with status 200 counts even if the rest
+    /// of the head cannot be read.
+    pub async fn read_head(&mut self, clock: &Clock, deadline: Micros) -> Result<Response, ResponseError> {
+        for _ in 0..=MAX_INTERIM_RESPONSES {
             if self.buffer.is_empty() {
-                clock.timeout_at(until, self.more()).await.unwrap_or(Err(Lost::TimedOut))?;
+                clock
+                    .timeout_at(deadline, self.fill_buffer())
+                    .await
+                    .unwrap_or(Err(ResponseError::TimedOut))?;
             }
-            let soon = clock.now().plus(TAIL);
-            let read = clock.timeout_at(soon, self.head()).await;
-            match read.unwrap_or(Err(Lost::Spoilt("a head without end".into()))) {
+            let end_by = clock.now().plus(RESPONSE_END_TIMEOUT);
+            let result = clock.timeout_at(end_by, self.parse_head()).await;
+            match result.unwrap_or(Err(ResponseError::Malformed("a head without end".into()))) {
                 Ok(interim) if (100..200).contains(&interim.status) => {}
-                Ok(answer) => return Ok(answer),
-                Err(lost) => return self.first_line().ok_or(lost),
+                Ok(response) => return Ok(response),
+                Err(error) => return self.parse_ok_first_line().ok_or(error),
             }
         }
-        Err(Lost::Spoilt("interim answers without end".into()))
+        Err(ResponseError::Malformed("interim answers without end".into()))
     }
 
-    async fn more(&mut self) -> Result<(), Lost> {
+    /// Reads more bytes into the buffer.
+    async fn fill_buffer(&mut self) -> Result<(), ResponseError> {
         match self.buffer.fill(&mut self.stream).await {
-            Ok(0) => Err(Lost::Broken(io::ErrorKind::UnexpectedEof.into())),
+            Ok(0) => Err(ResponseError::Disconnected(io::ErrorKind::UnexpectedEof.into())),
             Ok(_) => Ok(()),
-            Err(e) if e.kind() == io::ErrorKind::OutOfMemory => Err(Lost::Spoilt("a head too long".into())),
-            Err(e) => Err(Lost::Broken(e)),
+            Err(e) if e.kind() == io::ErrorKind::OutOfMemory => {
+                Err(ResponseError::Malformed("a head too long".into()))
+            }
+            Err(e) => Err(ResponseError::Disconnected(e)),
         }
     }
 
-    async fn head(&mut self) -> Result<Answer, Lost> {
+    /// Reads until the head is complete.
+    async fn parse_head(&mut self) -> Result<Response, ResponseError> {
         loop {
-            let mut headers = [httparse::EMPTY_HEADER; HEADERS];
-            let mut answer = httparse::Response::new(&mut headers);
-            match answer.parse(self.buffer.data()) {
+            let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+            let mut response = httparse::Response::new(&mut headers);
+            match response.parse(self.buffer.data()) {
                 Ok(httparse::Status::Complete(n)) => {
-                    let h = &*answer.headers;
-                    let text = |name| header(h, name).map(str::to_owned);
-                    let read = Answer {
-                        status: answer.code.unwrap_or(0),
-                        again: Again::read(h),
-                        no_slot: header(h, "x-no-slot") == Some("1"),
+                    let headers = &*response.headers;
+                    let text = |name| header_value(headers, name).map(str::to_owned);
+                    let parsed = Response {
+                        status: response.code.unwrap_or(0),
+                        retry_after: RetryAfter::parse(headers),
+                        no_slot: header_value(headers, "x-no-slot") == Some("1"),
                         load: text("x-load"),
-                        framing: framing(answer.version, h),
+                        framing: framing(response.version, headers),
                     };
                     self.buffer.consume(n);
-                    return Ok(read);
+                    return Ok(parsed);
                 }
-                Ok(httparse::Status::Partial) => self.more().await?,
-                Err(e) => return Err(Lost::Spoilt(e.to_string())),
+                Ok(httparse::Status::Partial) => self.fill_buffer().await?,
+                Err(e) => return Err(ResponseError::Malformed(e.to_string())),
             }
         }
     }
 
-    /// An answer of which only the first line can be read, if that line is whole and says 200.
-    fn first_line(&self) -> Option<Answer> {
+    /// A response of which only the first line can be read, if that line is complete and its status is 200.
+    fn parse_ok_first_line(&self) -> Option<Response> {
         let data = self.buffer.data();
         let line = std::str::from_utf8(&data[..data.iter().position(|b| *b == b'\n')?]).ok()?;
         let status = line.strip_prefix("HTTP/1.")?.trim_end_matches('\r').get(1..)?;
-        let ok = status == " 200" || status.starts_with(" 200 ");
+        let is_ok = status == " 200" || status.starts_with(" 200 ");
         let framing = Err("only its first line can be read");
-        ok.then_some(Answer { status: 200, again: Again::Unsaid, no_slot: false, load: None, framing })
+        is_ok.then_some(Response {
+            status: 200,
+            retry_after: RetryAfter::Absent,
+            no_slot: false,
+            load: None,
+            framing,
+        })
     }
 
-    /// Reads the rest of an answer and keeps nothing of it. Whether the connection can take another call; an
-    /// error where the answer does not end as its head says. Reading again reads nothing.
-    pub async fn discard_body(&mut self, answer: &mut Answer) -> io::Result<bool> {
-        let mut body = self.begin_body(answer, BODY_MOST)?;
+    /// Reads and discards the rest of a response. Returns whether the connection can carry another call; an
+    /// error if the body does not end as the head says. A second call reads nothing.
+    pub async fn discard_body(&mut self, response: &mut Response) -> io::Result<bool> {
+        let mut body = self.begin_body(response, MAX_BODY_BYTES)?;
         while self.read_part(&mut body).await?.is_some() {}
-        let again = body.again;
-        answer.framing = Ok(Framing { length: Some(0), chunked: false, close: !again });
-        Ok(again)
+        let reusable = body.reusable;
+        response.framing = Ok(Framing { length: Some(0), chunked: false, close: !reusable });
+        Ok(reusable)
     }
 
-    /// Begins to read the body of an answer, of so many bytes at most.
-    pub fn begin_body(&self, answer: &Answer, most: usize) -> io::Result<Body> {
-        let framing = answer.framing.map_err(bad)?;
-        if framing.chunked && !matches!(answer.status, 204 | 304) {
-            return Err(bad("chunked answers are not read"));
+    /// Begins to read the body of a response of at most `max_bytes`.
+    pub fn begin_body(&self, response: &Response, max_bytes: usize) -> io::Result<Body> {
+        let framing = response.framing.map_err(invalid_data)?;
+        if framing.chunked && !matches!(response.status, 204 | 304) {
+            return Err(invalid_data("chunked answers are not read"));
         }
-        let over = matches!(answer.status, 204 | 304);
-        Ok(Body { framing, most, read: 0, pending: 0, over, again: !framing.close })
+        let no_body = matches!(response.status, 204 | 304);
+        Ok(Body {
+            framing,
+            max_bytes,
+            bytes_read: 0,
+            unconsumed_bytes: 0,
+            finished: no_body,
+            reusable: !framing.close,
+        })
     }
 
-    /// The next part of it; none at its end.
+    /// Returns the next part of the body, `None` at its end.
     pub async fn read_part(&mut self, body: &mut Body) -> io::Result<Option<&[u8]>> {
-        self.buffer.consume(std::mem::take(&mut body.pending));
-        while !body.over {
-            // More than anybody may send is not waited for.
-            if body.framing.length.is_some_and(|l| l > body.most) || body.read > body.most {
-                return Err(bad("body too long"));
+        self.buffer.consume(std::mem::take(&mut body.unconsumed_bytes));
+        while !body.finished {
+            // A body above the limit is not read to its end.
+            if body.framing.length.is_some_and(|l| l > body.max_bytes) || body.bytes_read > body.max_bytes {
+                return Err(invalid_data("body too long"));
             }
-            let left = body.framing.length.map_or(usize::MAX, |l| l - body.read);
-            let n = left.min(self.buffer.data().len());
+            let remaining = body.framing.length.map_or(usize::MAX, |l| l - body.bytes_read);
+            let n = remaining.min(self.buffer.data().len());
             if n > 0 {
-                (body.read, body.pending) = (body.read + n, n);
+                (body.bytes_read, body.unconsumed_bytes) = (body.bytes_read + n, n);
                 return Ok(Some(&self.buffer.data()[..n]));
             }
-            if left == 0 {
-                body.over = true;
+            if remaining == 0 {
+                body.finished = true;
                 break;
             }
-            match self.more().await {
+            match self.fill_buffer().await {
                 Ok(()) => {}
-                // Without a length the end of the connection is the end of the body.
-                Err(Lost::Broken(e))
+                // Without a length, the end of the connection is the end of the body.
+                Err(ResponseError::Disconnected(e))
                     if body.framing.length.is_none() && e.kind() == io::ErrorKind::UnexpectedEof =>
                 {
-                    (body.over, body.again) = (true, false);
+                    (body.finished, body.reusable) = (true, false);
                 }
-                Err(lost) => return Err(lost.into()),
+                Err(error) => return Err(error.into()),
             }
         }
         Ok(None)
     }
 }
 
-/// How far the body of an answer has been read.
+/// How far the body of a response has been read.
 #[derive(Debug)]
 pub struct Body {
     framing: Framing,
-    most: usize,
-    read: usize,
-    /// Given, and still in the buffer.
-    pending: usize,
-    over: bool,
-    /// Once it has ended: the connection can take another call.
-    pub again: bool,
+    max_bytes: usize,
+    bytes_read: usize,
+    /// Bytes that the last call returned and that are still in the buffer.
+    unconsumed_bytes: usize,
+    finished: bool,
+    /// Valid after the end of the body: the connection can carry another call.
+    pub reusable: bool,
 }
 
 #[cfg(test)]
--- a/daemon/src/net/http/endpoint.rs
+++ b/daemon/src/net/http/endpoint.rs
@@ -1,8 +1,8 @@
-//! One endpoint: its idle connections, and the outbound calls over them.
+//! The actor of one HTTP endpoint: its idle connections and the outbound calls over them.
 
 use super::MAX_HEAD_BYTES;
-use super::client::{Again, Answer, Conn, Lost, TAIL, is_local};
-use super::reuse::AT_ONCE;
+use super::client::{Conn, RESPONSE_END_TIMEOUT, Response, ResponseError, RetryAfter, is_local_failure};
+use super::reuse::STALE_BREAK_WITHIN;
 use crate::clock::Clock;
 use crate::core_actor::CoreMessage;
 use crate::net::{OutboundCall, SharedState, ToEndpoint};
@@ -15,80 +15,90 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// What an endpoint says behind its answer shows within this, if it says anything: only then may the connection
-/// take the next call.
-const SETTLE: Micros = Micros(3_000);
+/// Idle time before a connection may carry its next call. Unexpected input behind a response arrives within
+/// this time, if any comes.
+const SETTLE_TIME: Micros = Micros(3_000);
 
-/// What this machine has no descriptor or port for is not decided on again at once.
-const LOCAL_PAUSE: Micros = Micros(50_000);
-/// So many of them are logged; all are counted.
-const LOGGED: u64 = 20;
+/// Delay before a call is handed back that this machine had no file descriptor or port for, so that it is
+/// not retried at once.
+const LOCAL_FAILURE_DELAY: Micros = Micros(50_000);
+/// Unreadable responses that are logged; all of them are counted.
+const MAX_LOGGED_RESPONSES: u64 = 20;
 
-/// Starts the actor of an endpoint.
-pub fn start(shared: &Rc<SharedState>, address: SocketAddr, room: usize) -> Sender<ToEndpoint> {
-    let (mailbox, inbox) = bounded(room);
-    let actor = run(shared.clone(), address, inbox, room);
+/// Starts the actor of an endpoint; `capacity` is the length of its mailbox.
+pub fn start(shared: &Rc<SharedState>, address: SocketAddr, capacity: usize) -> Sender<ToEndpoint> {
+    let (mailbox, inbox) = bounded(capacity);
+    let actor = run(shared.clone(), address, inbox, capacity);
     shared.executor.spawn(actor).detach();
     mailbox
 }
 
-async fn run(shared: Rc<SharedState>, mut address: SocketAddr, inbox: Receiver<ToEndpoint>, room: usize) {
-    let (give_back, given_back) = bounded(room); // connections that have done their call
-    let mut idle: Vec<Idle> = Vec::new(); // the longest idle first
-    let mut keeps = true; // what comes back: not after idle ones were given back, until the next call
+async fn run(shared: Rc<SharedState>, mut address: SocketAddr, inbox: Receiver<ToEndpoint>, capacity: usize) {
+    // Finished calls return their connections here.
+    let (connection_returns, returned_connections) = bounded(capacity);
+    // Ordered by idle time, the longest first.
+    let mut idle: Vec<Idle> = Vec::new();
+    // False from `CloseIdle` to the next call: connections that are returned in that time are closed as well.
+    let mut keeps_returned = true;
     loop {
-        let oldest = idle.first().and_then(|i| Some(i.since.plus(shared.idle_timeout?)));
-        let back = async { (None, given_back.recv().await.ok()) };
+        let oldest = idle.first().and_then(|connection| Some(connection.since.plus(shared.idle_timeout?)));
+        let returned = async { (None, returned_connections.recv().await.ok()) };
         let next = async { (Some(inbox.recv().await), None) };
         let retire = async {
             shared.clock.sleep_until(oldest).await;
             (None, None)
         };
-        let (message, back) = future::or(future::or(back, next), retire).await;
+        let (message, returned) = future::or(future::or(returned, next), retire).await;
         let now = shared.clock.now();
-        match back {
-            // Near the bound on descriptors no connection is kept for later; none outlives its address.
-            Some(Back::Sound(sound)) => {
-                let (mut conn, to) = *sound;
-                if !keeps || to != address || shared.counters.outbound_open.get() > shared.max_outbound {
+        match returned {
+            // Near the limit on descriptors no connection is kept, and none is kept for a former address.
+            Some(Returned::Reusable(reusable)) => {
+                let (mut conn, connected_to) = *reusable;
+                if !keeps_returned
+                    || connected_to != address
+                    || shared.counters.outbound_open.get() > shared.max_outbound
+                {
                     shared.counters.outbound_open.decrement();
                 } else {
-                    conn.rest_buffer();
+                    conn.release_buffer();
                     idle.push(Idle { since: now, conn });
                 }
             }
-            // A machine that vanished leaves its connections open and silent: a call over one would time out and
-            // may have run, where a new connection that does not come up proves that it has not.
-            Some(Back::Suspect) => close_all(&shared, &mut idle),
+            // A machine that vanished leaves its connections open and silent. A call over one would time
+            // out and might have run, whereas a failed connect proves that it has not.
+            Some(Returned::SuspectIdle) => close_all(&shared, &mut idle),
             None => {}
         }
         match message {
             None => {}
-            // The endpoint is gone, and nothing is out to it.
+            // The endpoint has been removed, and no call to it is in flight.
             Some(Err(_)) => return close_all(&shared, &mut idle),
             Some(Ok(ToEndpoint::Call(call))) => {
-                keeps = true;
+                keeps_returned = true;
                 retire_idle(&shared, &mut idle, now);
-                // The youngest is the best; one that is not good enough is closed, so that they do not pile up.
-                let conn = idle.pop().filter(|i| {
-                    let good =
-                        shared.reuse_stats.borrow_mut().allows(now.since(i.since), call.unsafe_to_repeat);
-                    if !good {
+                // The connection that was used last is the best choice; an unsuitable one is closed, so
+                // that idle connections do not pile up.
+                let conn = idle.pop().filter(|connection| {
+                    let suitable = shared
+                        .reuse_stats
+                        .borrow_mut()
+                        .may_reuse(now.since(connection.since), call.unsafe_to_repeat);
+                    if !suitable {
                         shared.counters.outbound_open.decrement();
                         shared.counters.outbound_passed_over.increment();
                     }
-                    good
+                    suitable
                 });
-                let (shared, give_back) = (shared.clone(), give_back.clone());
+                let (shared, connection_returns) = (shared.clone(), connection_returns.clone());
                 let executor = shared.executor.clone();
-                executor.spawn(outbound_call(shared, address, *call, conn, give_back)).detach();
+                executor.spawn(run_call(shared, address, *call, conn, connection_returns)).detach();
             }
             Some(Ok(ToEndpoint::CloseIdle)) => {
-                keeps = false;
+                keeps_returned = false;
                 close_all(&shared, &mut idle);
             }
-            Some(Ok(ToEndpoint::AddressChanged(to))) => {
-                address = *to;
+            Some(Ok(ToEndpoint::AddressChanged(new_address))) => {
+                address = *new_address;
                 close_all(&shared, &mut idle);
             }
         }
@@ -102,22 +112,24 @@
     conn: Conn,
 }
 
-/// What a call says of the connection that it used.
-enum Back {
-    /// Boxed: there is room for many.
-    Sound(Box<(Conn, SocketAddr)>),
-    Suspect,
+/// What a finished call reports about its connection.
+enum Returned {
+    /// The connection can carry another call. Boxed because the channel reserves space for many messages.
+    Reusable(Box<(Conn, SocketAddr)>),
+    /// The call got no response: idle connections to the endpoint may be dead as well.
+    SuspectIdle,
 }
 
 fn close_all(shared: &SharedState, idle: &mut Vec<Idle>) {
     idle.drain(..).for_each(|_| shared.counters.outbound_open.decrement());
 }
 
-/// An endpoint closes what has been idle for the platform's limit, and a request that crosses that close may
-/// have run: let go well before, and of what the other side has closed already.
+/// Closes connections that the endpoint has closed, and others well before the platform's limit on idle
+/// time: endpoints close connections at that limit, and a request that crosses the close may have run.
 fn retire_idle(shared: &SharedState, idle: &mut Vec<Idle>, now: Micros) {
-    idle.retain(|i| {
-        let keep = shared.idle_timeout.is_none_or(|most| now.since(i.since) < most) && !i.conn.is_stale();
+    idle.retain(|connection| {
+        let keep = shared.idle_timeout.is_none_or(|limit| now.since(connection.since) < limit)
+            && !connection.conn.is_stale();
         if !keep {
             shared.counters.outbound_open.decrement();
         }
@@ -125,62 +137,69 @@
     });
 }
 
-async fn outbound_call(
+async fn run_call(
     shared: Rc<SharedState>, address: SocketAddr, call: OutboundCall, idle: Option<Idle>,
-    give_back: Sender<Back>,
+    connection_returns: Sender<Returned>,
 ) {
-    // Until when its answer told to wait: that holds whatever becomes of the attempt.
-    let told = Cell::new(Micros(0));
-    // To give up a call is to close its connection: dropping the attempt does that.
-    let called_off = async {
-        call.called_off().await;
+    // The time until which the response asked to wait. It applies whatever the outcome of the attempt.
+    let wait_until = Cell::new(Micros(0));
+    // Cancelling a call means closing its connection, which dropping the attempt does.
+    let cancelled = async {
+        call.cancelled().await;
         (Verdict::Cancelled, None, None)
     };
-    let (verdict, answer, conn) = future::or(attempt(&shared, address, &call, idle, &told), called_off).await;
-    let load = answer.as_ref().and_then(|a| a.load.as_deref()).map(report).unwrap_or_default();
-    let answered = AttemptOutcome {
-        finished: answer.as_ref().is_some_and(|a| a.status == 410),
-        load_report: load,
-        wait_until: told.get(),
+    let (verdict, response, conn) =
+        future::or(attempt(&shared, address, &call, idle, &wait_until), cancelled).await;
+    let load_report = response
+        .as_ref()
+        .and_then(|response| response.load.as_deref())
+        .map(parse_load_report)
+        .unwrap_or_default();
+    let outcome = AttemptOutcome {
+        finished: response.as_ref().is_some_and(|response| response.status == 410),
+        load_report,
+        wait_until: wait_until.get(),
         ..call.outcome(shared.clock.now(), verdict)
     };
     if matches!(verdict, Verdict::TimedOut | Verdict::Reset | Verdict::Stale) {
-        let _ = give_back.try_send(Back::Suspect);
+        let _ = connection_returns.try_send(Returned::SuspectIdle);
     }
-    let _ = shared.core.send(CoreMessage::AttemptEnded(answered)).await;
-    let sound = match (answer, conn) {
-        // A delivery needed the first line only; the connection is good for another call after the rest.
-        (Some(mut answer), Some(mut conn)) => {
-            let tail = shared.clock.now().plus(TAIL);
-            let again = shared.clock.timeout_at(tail, conn.discard_body(&mut answer)).await;
-            Some(conn).filter(|_| matches!(again, Some(Ok(true))))
+    let _ = shared.core.send(CoreMessage::AttemptEnded(outcome)).await;
+    let reusable = match (response, conn) {
+        // The first line of the response was enough for the verdict; the connection can be used again after
+        // its end.
+        (Some(mut response), Some(mut conn)) => {
+            let end_by = shared.clock.now().plus(RESPONSE_END_TIMEOUT);
+            let reusable = shared.clock.timeout_at(end_by, conn.discard_body(&mut response)).await;
+            Some(conn).filter(|_| matches!(reusable, Some(Ok(true))))
         }
-        // The call was held back: nothing has gone over its connection.
+        // The call was held back: nothing has been written to the connection.
         (None, conn) => conn,
         (Some(_), None) => None,
     };
-    if let Some(conn) = sound
-        && give_back.try_send(Back::Sound(Box::new((conn, address)))).is_ok()
+    if let Some(conn) = reusable
+        && connection_returns.try_send(Returned::Reusable(Box::new((conn, address)))).is_ok()
     {
         return;
     }
     shared.counters.outbound_open.decrement();
 }
 
-/// Makes one attempt. A connection that is not handed back is closed, which is how a call is given up.
+/// Makes one attempt. A connection that is not returned is closed, which cancels a call in progress.
 async fn attempt(
-    shared: &SharedState, address: SocketAddr, call: &OutboundCall, idle: Option<Idle>, told: &Cell<Micros>,
-) -> (Verdict, Option<Answer>, Option<Conn>) {
+    shared: &SharedState, address: SocketAddr, call: &OutboundCall, idle: Option<Idle>,
+    wait_until: &Cell<Micros>,
+) -> (Verdict, Option<Response>, Option<Conn>) {
     let (clock, counters) = (&shared.clock, &shared.counters);
-    let until = call.until();
-    let (mut kept, mut rested) = (None, None);
+    let deadline = call.deadline();
+    let (mut kept, mut idle_time) = (None, None);
     if let Some(Idle { since, conn }) = idle {
-        let settled = since.plus(SETTLE);
-        if settled > clock.now() {
-            clock.sleep_until(Some(settled)).await;
+        let settled_at = since.plus(SETTLE_TIME);
+        if settled_at > clock.now() {
+            clock.sleep_until(Some(settled_at)).await;
         }
         kept = Some(conn).filter(|c| !c.is_stale());
-        rested = kept.as_ref().map(|_| clock.now().since(since));
+        idle_time = kept.as_ref().map(|_| clock.now().since(since));
         if kept.is_none() {
             counters.outbound_open.decrement();
         }
@@ -193,49 +212,51 @@
         None => {
             counters.outbound_open.increment();
             counters.outbound_opened.increment();
-            let by = until.min(clock.now().plus(shared.connect_timeout));
-            match clock.timeout_at(by, Conn::open(address, MAX_HEAD_BYTES)).await {
+            let connect_by = deadline.min(clock.now().plus(shared.connect_timeout));
+            match clock.timeout_at(connect_by, Conn::open(address, MAX_HEAD_BYTES)).await {
                 Some(Ok(conn)) => conn,
-                Some(Err(e)) if is_local(&e) => {
+                Some(Err(e)) if is_local_failure(&e) => {
                     counters.held_back_local.increment();
-                    clock.sleep_until(Some(clock.now().plus(LOCAL_PAUSE))).await;
+                    clock.sleep_until(Some(clock.now().plus(LOCAL_FAILURE_DELAY))).await;
                     return (Verdict::HeldBack, None, None);
                 }
                 _ => return (Verdict::ConnectFailed, None, None),
             }
         }
     };
-    // From here on the call may run: the module has it in the log first, or says that it must not go.
+    // The core persists the attempt before it grants a permit, since the call may run from here on.
     let permit = match shared.request_permit(call, address, false).await {
         Ok(permit) => permit,
         Err(verdict) => return (verdict, None, Some(conn)),
     };
-    // While the module was asked the other side may have closed it. Written now the call would be lost as one that may
-    // have run; unwritten it has not, and of a kept connection that says nothing of the endpoint.
+    // The endpoint may have closed the connection while the permit was requested. A call written now would
+    // be lost as one that may have run; unwritten it has not run. For a kept connection that says nothing
+    // about the endpoint.
     if conn.is_stale() {
-        let kept = rested.is_some();
+        let kept = idle_time.is_some();
         if kept {
             counters.held_back_closed.increment();
         }
         return (if kept { Verdict::HeldBack } else { Verdict::ConnectFailed }, None, None);
     }
     let bytes = request(address, call, permit.epoch, clock);
-    // A process that was stood still since then may have lost the right to probe.
-    if call.probe_path.is_some() && clock.now() >= until {
+    // A process that was suspended since then may have lost its lease on the probe duty.
+    if call.probe_path.is_some() && clock.now() >= deadline {
         return (Verdict::Moot, None, Some(conn));
     }
-    shared.sends(call, &permit);
-    let mut left = &bytes[..];
+    shared.record_send(call, &permit);
+    let mut unwritten = &bytes[..];
     loop {
-        match conn.put(left) {
-            Ok(n) => left = &left[n..],
+        match conn.try_write(unwritten) {
+            Ok(count) => unwritten = &unwritten[count..],
             Err(_) => return (Verdict::ConnectFailed, None, None),
         }
-        if left.is_empty() {
+        if unwritten.is_empty() {
             break;
         }
-        // A call counts when its last byte has come: what has to wait for room asks again. Closed here it never ran.
-        if !matches!(clock.timeout_at(until, conn.room()).await, Some(Ok(()))) {
+        // A call runs only when its last byte has arrived. If the socket's buffer is full, a new permit is
+        // required before the rest is written; closed here, the call has not run.
+        if !matches!(clock.timeout_at(deadline, conn.writable()).await, Some(Ok(()))) {
             return (Verdict::ConnectFailed, None, None);
         }
         if let Err(verdict) = shared.request_permit(call, address, true).await {
@@ -243,98 +264,102 @@
         }
     }
     let written = clock.now();
-    let read = conn.read_head(clock, until).await;
-    // A kept connection that breaks at once tells of itself; later, or when new, of the endpoint.
-    let at_once = clock.now().since(written) < AT_ONCE;
-    let stale = rested.filter(|_| at_once && matches!(read, Err(Lost::Broken(_))));
-    if let Some(idle) = rested
-        && (read.is_ok() || stale.is_some())
+    let result = conn.read_head(clock, deadline).await;
+    // A kept connection that breaks at once was stale; a later break, or one of a new connection, is the
+    // endpoint's.
+    let broke_at_once = clock.now().since(written) < STALE_BREAK_WITHIN;
+    let stale = idle_time.filter(|_| broke_at_once && matches!(result, Err(ResponseError::Disconnected(_))));
+    if let Some(idle) = idle_time
+        && (result.is_ok() || stale.is_some())
     {
-        shared.reuse_stats.borrow_mut().note(idle, stale.is_some());
+        shared.reuse_stats.borrow_mut().record(idle, stale.is_some());
     }
-    let mut answer = match read {
-        Ok(answer) => answer,
-        Err(Lost::Broken(_)) if stale.is_some() => return (Verdict::Stale, None, None),
-        Err(Lost::TimedOut) => return (Verdict::TimedOut, None, None),
-        Err(Lost::Broken(_)) => return (Verdict::Reset, None, None),
-        Err(Lost::Spoilt(why)) => return spoilt(shared, address, &why),
+    let mut response = match result {
+        Ok(response) => response,
+        Err(ResponseError::Disconnected(_)) if stale.is_some() => return (Verdict::Stale, None, None),
+        Err(ResponseError::TimedOut) => return (Verdict::TimedOut, None, None),
+        Err(ResponseError::Disconnected(_)) => return (Verdict::Reset, None, None),
+        Err(ResponseError::Malformed(reason)) => return malformed_response(shared, address, &reason),
     };
-    // A whole head tells a wait, which runs from now on, whatever the body does.
-    if answer.status == 429 {
-        match answer.again {
-            Again::After(wait) => told.set(clock.now().plus(wait)),
-            Again::Unread => counters.waits_unread.increment(),
-            Again::Unsaid => {}
+    // A complete head is enough for its Retry-After, which counts from now on, whatever the body does.
+    if response.status == 429 {
+        match response.retry_after {
+            RetryAfter::After(wait) => wait_until.set(clock.now().plus(wait)),
+            RetryAfter::Unreadable => counters.waits_unread.increment(),
+            RetryAfter::Absent => {}
         }
-        if told.get() > Micros(0) && !conn.whole(&answer) {
+        if wait_until.get() > Micros(0) && !conn.body_is_buffered(&response) {
             let _ = shared
                 .core
-                .send(CoreMessage::RetryAfter { receiver: call.receiver, until: told.get() })
+                .send(CoreMessage::RetryAfter { receiver: call.receiver, until: wait_until.get() })
                 .await;
         }
     }
-    // That a call has not run is believed only of an answer that is whole.
-    if answer.status != 200 {
-        let tail = clock.now().plus(TAIL);
-        match clock.timeout_at(tail, conn.discard_body(&mut answer)).await {
+    // That a call has not run is believed only from a complete response.
+    if response.status != 200 {
+        let end_by = clock.now().plus(RESPONSE_END_TIMEOUT);
+        match clock.timeout_at(end_by, conn.discard_body(&mut response)).await {
             Some(Ok(_)) => {}
-            Some(Err(e)) => return spoilt(shared, address, &e.to_string()),
-            None => return spoilt(shared, address, "a body without end"),
+            Some(Err(e)) => return malformed_response(shared, address, &e.to_string()),
+            None => return malformed_response(shared, address, "the body did not end in time"),
         }
     }
-    // Turned away on a new connection, which ends with that: the endpoint runs, and its connection table is full.
-    if rested.is_none() && answer.status == 503 && !answer.no_slot && answer.closes() {
+    // A 503 that closes a new connection: the endpoint runs, but its connection table is full.
+    if idle_time.is_none() && response.status == 503 && !response.no_slot && response.closes() {
         counters.outbound_no_place.increment();
         return (Verdict::ConnectionLimit, None, None);
     }
-    let verdict = verdict(&answer, told.get().since(clock.now()));
-    (verdict, Some(answer), Some(conn))
+    let verdict = verdict(&response, wait_until.get().since(clock.now()));
+    (verdict, Some(response), Some(conn))
 }
 
-/// Something came that is no answer: the call may have run. The endpoint is there, so its other connections are
-/// as good as before.
-fn spoilt(shared: &SharedState, address: SocketAddr, why: &str) -> (Verdict, Option<Answer>, Option<Conn>) {
-    let n = &shared.counters.spoilt;
-    n.increment();
-    if n.get() <= LOGGED {
-        tracing::warn!(peer = %address, "endpoint: an answer that cannot be read: {why}");
+/// Logs a response that cannot be read: the call may have run. The endpoint is reachable, so its other
+/// connections are as good as before.
+fn malformed_response(
+    shared: &SharedState, address: SocketAddr, reason: &str,
+) -> (Verdict, Option<Response>, Option<Conn>) {
+    let count = &shared.counters.spoilt;
+    count.increment();
+    if count.get() <= MAX_LOGGED_RESPONSES {
+        tracing::warn!(peer = %address, "endpoint: unreadable response, the call may have run: {reason}");
     }
     (Verdict::Error, None, None)
 }
 
 fn request(address: SocketAddr, call: &OutboundCall, epoch: u64, clock: &Clock) -> Vec<u8> {
     if let Some(path) = &call.probe_path {
-        // A partner that keeps the highest refuses a probe of a holder that stood still and has lost its lease.
+        // Partners refuse an epoch below the highest that they have seen, and so a probe from a process
+        // that was suspended and has lost its lease.
         return format!("GET {path} HTTP/1.1\r\nHost: {address}\r\nX-Epoch: {epoch}\r\n\r\n").into_bytes();
     }
     let mut head = format!("POST /inbox HTTP/1.1\r\nHost: {address}\r\nX-Request-Id: {}\r\n", call.id);
     if !call.idempotency_key.is_empty() {
         let _ = write!(head, "Idempotency-Key: {}\r\n", call.idempotency_key);
     }
-    let left = call.until().since(clock.now()).secs();
-    let _ = write!(head, "X-Deadline: {left:.3}\r\nContent-Length: {}\r\n\r\n", call.body.len());
+    let time_left = call.deadline().since(clock.now()).secs();
+    let _ = write!(head, "X-Deadline: {time_left:.3}\r\nContent-Length: {}\r\n\r\n", call.body.len());
     let mut bytes = head.into_bytes();
     bytes.extend_from_slice(&call.body);
     bytes
 }
 
-/// The protocol's table; `wait` is what is left of a told wait.
-fn verdict(answer: &Answer, wait: Micros) -> Verdict {
-    match answer.status {
+/// Maps a status to a verdict as the protocol's table says; `wait` is what remains of Retry-After.
+fn verdict(response: &Response, wait: Micros) -> Verdict {
+    match response.status {
         200 => Verdict::Delivered,
         429 => Verdict::Full(Some(wait).filter(|w| *w > Micros(0))),
-        503 if answer.no_slot => Verdict::Moot,
+        503 if response.no_slot => Verdict::Moot,
         503 => Verdict::Full(None),
         504 | 410 => Verdict::Moot,
-        // Not in the table, or 500: nothing proves that it has not run.
+        // 500 or not in the table: nothing proves that the call has not run.
         _ => Verdict::Error,
     }
 }
 
-/// The limit in calls a second, and the share of it that is left.
-fn report(load: &str) -> (Option<f64>, Option<f64>) {
-    let v: serde_json::Value = serde_json::from_str(load).unwrap_or_default();
-    let field = |name: &str| v.get(name).and_then(serde_json::Value::as_f64);
+/// The limit in calls a second, and the share of it that remains.
+fn parse_load_report(load_report: &str) -> (Option<f64>, Option<f64>) {
+    let value: serde_json::Value = serde_json::from_str(load_report).unwrap_or_default();
+    let field = |name: &str| value.get(name).and_then(serde_json::Value::as_f64);
     onyxrock::interface::load_report(field("x1"), field("x0"))
 }
 
--- a/daemon/src/net/http/endpoint/tests.rs
+++ b/daemon/src/net/http/endpoint/tests.rs
@@ -1,4 +1,4 @@
-//! Calls over kept and new connections, with a peer and a module that the test plays.
+//! Calls over kept and new connections, with the test in the place of the endpoint and of the core.
 
 use super::*;
 use crate::core_actor::Permit;
@@ -8,25 +8,25 @@
 
 const PERMIT: Permit = Permit { epoch: 0, valid_until: Micros(u64::MAX), repeat: false, logged: true };
 
-/// An endpoint's actor between a peer and a module that the test plays.
-struct Rig {
+/// An endpoint's actor between an endpoint and a core that the test plays.
+struct Harness {
     shared: Rc<SharedState>,
-    module: Receiver<CoreMessage>,
+    core: Receiver<CoreMessage>,
     mailbox: Sender<ToEndpoint>,
     peer: TcpListener,
 }
 
-impl Rig {
-    fn new() -> Rig {
-        let (module, messages) = bounded(8);
-        let shared = SharedState::for_test(module);
+impl Harness {
+    fn new() -> Harness {
+        let (core, messages) = bounded(8);
+        let shared = SharedState::for_test(core);
         let peer = TcpListener::bind("127.0.0.1:0").unwrap();
         let mailbox = start(&shared, peer.local_addr().unwrap(), 8);
-        Rig { shared, module: messages, mailbox, peer }
+        Harness { shared, core: messages, mailbox, peer }
     }
-    /// Has a call made; it ends when what is returned is dropped.
+    /// Starts a call, which is cancelled when the returned sender is dropped.
     fn call(&self, id: &str, body: usize) -> Sender<()> {
-        let (wanted, called_off) = bounded(1);
+        let (cancel, cancelled) = bounded(1);
         let call = OutboundCall {
             endpoint: "e1".into(),
             number: 1,
@@ -40,115 +40,124 @@
             timeout: Micros(20_000_000),
             unsafe_to_repeat: true,
             probe_path: None,
-            cancellation: Some(called_off),
+            cancellation: Some(cancelled),
         };
         self.mailbox.try_send(ToEndpoint::Call(Box::new(call))).unwrap();
-        wanted
+        cancel
     }
-    fn message(&self) -> CoreMessage {
-        async_io::block_on(self.shared.executor.run(self.module.recv())).unwrap()
+    fn next_message(&self) -> CoreMessage {
+        async_io::block_on(self.shared.executor.run(self.core.recv())).unwrap()
     }
-    /// The actor asks whether its call may go.
-    fn gate(&self, says: crate::core_actor::PermitResult) -> bool {
-        let CoreMessage::RequestPermit { request: asks, reply, .. } = self.message() else {
-            panic!("no question")
+    /// Answers the actor's request for a permit; returns whether the call was partly written by then.
+    fn answer_permit_request(&self, result: crate::core_actor::PermitResult) -> bool {
+        let CoreMessage::RequestPermit { request, reply, .. } = self.next_message() else {
+            panic!("no permit request")
         };
-        reply.try_send(says).unwrap();
-        asks.partly_written
+        reply.try_send(result).unwrap();
+        request.partly_written
     }
-    fn answered(&self) -> AttemptOutcome {
-        match self.message() {
-            CoreMessage::AttemptEnded(a) => a,
+    fn next_outcome(&self) -> AttemptOutcome {
+        match self.next_message() {
+            CoreMessage::AttemptEnded(outcome) => outcome,
             other => panic!("{other:?}"),
         }
     }
-    fn accept(&self, said: &mut Vec<u8>, until: &str) -> TcpStream {
-        // What was allowed is written.
+    fn accept(&self, received: &mut Vec<u8>, until: &str) -> TcpStream {
+        // Lets the actor write the call that was permitted.
         async_io::block_on(self.shared.executor.run(future::yield_now()));
         let mut stream = self.peer.accept().unwrap().0;
         let mut byte = [0];
-        while !String::from_utf8_lossy(said).contains(until) {
+        while !String::from_utf8_lossy(received).contains(until) {
             stream.read_exact(&mut byte).unwrap();
-            said.extend(byte);
+            received.extend(byte);
         }
         stream
     }
 }
 
 #[test]
-fn of_a_call_held_back_no_byte_leaves_and_its_connection_takes_the_next() {
-    let rig = Rig::new();
-    let _first = rig.call("first", 10);
-    assert!(!rig.gate(Err(Verdict::HeldBack)));
-    assert_eq!(rig.answered().verdict, Verdict::HeldBack);
-    let _second = rig.call("second", 0);
-    rig.gate(Ok(PERMIT));
-    let mut said = Vec::new();
-    let mut stream = rig.accept(&mut said, "\r\n\r\n");
-    let said = String::from_utf8(said).unwrap();
-    assert!(said.contains("second") && !said.contains("first"), "{said}");
+fn a_call_held_back_writes_nothing_and_leaves_its_connection_usable() {
+    let harness = Harness::new();
+    let _first = harness.call("first", 10);
+    assert!(!harness.answer_permit_request(Err(Verdict::HeldBack)));
+    assert_eq!(harness.next_outcome().verdict, Verdict::HeldBack);
+    let _second = harness.call("second", 0);
+    harness.answer_permit_request(Ok(PERMIT));
+    let mut received = Vec::new();
+    let mut stream = harness.accept(&mut received, "\r\n\r\n");
+    let received = String::from_utf8(received).unwrap();
+    assert!(received.contains("second") && !received.contains("first"), "{received}");
     stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
-    assert_eq!(rig.answered().verdict, Verdict::Delivered);
-    assert_eq!(rig.shared.counters.outbound_opened.get(), 1);
+    assert_eq!(harness.next_outcome().verdict, Verdict::Delivered);
+    assert_eq!(harness.shared.counters.outbound_opened.get(), 1);
 }
 
-/// The other side closes between the module's yes and the first byte: nothing has run, and nothing is lost.
+/// The endpoint closes the connection between the permit and the first byte: the call has not run and must
+/// not count as lost.
 #[test]
-fn a_close_that_crosses_the_yes_leaves_the_call_unsent() {
-    let rig = Rig::new();
-    let _first = rig.call("first", 0);
-    rig.gate(Ok(PERMIT));
-    let mut stream = rig.accept(&mut Vec::new(), "\r\n\r\n");
+fn a_close_that_crosses_the_permit_leaves_the_call_unsent() {
+    let harness = Harness::new();
+    let _first = harness.call("first", 0);
+    harness.answer_permit_request(Ok(PERMIT));
+    let mut stream = harness.accept(&mut Vec::new(), "\r\n\r\n");
     stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
-    assert_eq!(rig.answered().verdict, Verdict::Delivered);
-    let _second = rig.call("second", 0);
-    let CoreMessage::RequestPermit { reply, .. } = rig.message() else { panic!("no question") };
-    assert_eq!(rig.shared.counters.outbound_reused.get(), 1);
+    assert_eq!(harness.next_outcome().verdict, Verdict::Delivered);
+    let _second = harness.call("second", 0);
+    let CoreMessage::RequestPermit { reply, .. } = harness.next_message() else {
+        panic!("no permit request")
+    };
+    assert_eq!(harness.shared.counters.outbound_reused.get(), 1);
     drop(stream);
     reply.try_send(Ok(PERMIT)).unwrap();
-    assert_eq!(rig.answered().verdict, Verdict::HeldBack, "a kept one");
-    assert_eq!(rig.shared.counters.held_back_closed.get(), 1);
-    let _third = rig.call("third", 0);
-    let CoreMessage::RequestPermit { reply, .. } = rig.message() else { panic!("no question") };
-    drop(rig.peer.accept().unwrap());
+    assert_eq!(harness.next_outcome().verdict, Verdict::HeldBack, "over a kept connection");
+    assert_eq!(harness.shared.counters.held_back_closed.get(), 1);
+    let _third = harness.call("third", 0);
+    let CoreMessage::RequestPermit { reply, .. } = harness.next_message() else {
+        panic!("no permit request")
+    };
+    drop(harness.peer.accept().unwrap());
     reply.try_send(Ok(PERMIT)).unwrap();
-    assert_eq!(rig.answered().verdict, Verdict::ConnectFailed, "a new one");
-    assert_eq!((rig.shared.counters.outbound_calls.get(), rig.shared.counters.outbound_open.get()), (1, 0));
+    assert_eq!(harness.next_outcome().verdict, Verdict::ConnectFailed, "over a new connection");
+    assert_eq!(
+        (harness.shared.counters.outbound_calls.get(), harness.shared.counters.outbound_open.get()),
+        (1, 0)
+    );
 }
 
-/// An endpoint that is gone refuses the connect; one that runs, with a full connection table, answers and closes.
+/// An endpoint that is gone refuses the connect; one that runs with a full connection table answers and
+/// closes.
 #[test]
-fn a_full_connection_table_is_told_apart_from_a_refused_connect() {
-    let rig = Rig::new();
-    let _full = rig.call("full", 0);
-    rig.gate(Ok(PERMIT));
-    let mut stream = rig.accept(&mut Vec::new(), "\r\n\r\n");
+fn a_full_connection_table_is_distinguished_from_a_refused_connect() {
+    let harness = Harness::new();
+    let _full = harness.call("full", 0);
+    harness.answer_permit_request(Ok(PERMIT));
+    let mut stream = harness.accept(&mut Vec::new(), "\r\n\r\n");
     stream.write_all(b"HTTP/1.1 503 X\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").unwrap();
-    assert_eq!(rig.answered().verdict, Verdict::ConnectionLimit);
-    let Rig { shared, module, mailbox, peer } = rig;
+    assert_eq!(harness.next_outcome().verdict, Verdict::ConnectionLimit);
+    let Harness { shared, core, mailbox, peer } = harness;
     let address = peer.local_addr().unwrap();
     drop(peer);
-    let rig = Rig { shared, module, mailbox, peer: TcpListener::bind("127.0.0.1:0").unwrap() };
-    assert_ne!(rig.peer.local_addr().unwrap(), address);
-    let _gone = rig.call("gone", 0);
-    assert_eq!(rig.answered().verdict, Verdict::ConnectFailed);
+    let harness = Harness { shared, core, mailbox, peer: TcpListener::bind("127.0.0.1:0").unwrap() };
+    assert_ne!(harness.peer.local_addr().unwrap(), address);
+    let _gone = harness.call("gone", 0);
+    assert_eq!(harness.next_outcome().verdict, Verdict::ConnectFailed);
 }
 
-/// The delivery is known from the first line; the connection comes back with the rest of the answer, behind the word that
-/// idle ones are given back.
+/// The verdict is known from the first line, and the connection is returned after the rest of the response.
+/// If `CloseIdle` arrives in between, it has to be closed as well.
 #[test]
-fn a_connection_that_comes_back_late_is_given_back_too() {
-    let rig = Rig::new();
-    let _wanted = rig.call("m", 0);
-    rig.gate(Ok(PERMIT));
-    let mut stream = rig.accept(&mut Vec::new(), "\r\n\r\n");
+fn a_connection_returned_after_close_idle_is_closed_too() {
+    let harness = Harness::new();
+    let _cancel = harness.call("m", 0);
+    harness.answer_permit_request(Ok(PERMIT));
+    let mut stream = harness.accept(&mut Vec::new(), "\r\n\r\n");
     stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nx").unwrap();
-    assert_eq!(rig.answered().verdict, Verdict::Delivered);
-    rig.mailbox.try_send(ToEndpoint::CloseIdle).unwrap();
-    async_io::block_on(rig.shared.executor.run(future::yield_now()));
+    assert_eq!(harness.next_outcome().verdict, Verdict::Delivered);
+    harness.mailbox.try_send(ToEndpoint::CloseIdle).unwrap();
+    async_io::block_on(harness.shared.executor.run(future::yield_now()));
     stream.write_all(b"y").unwrap();
     let read = std::thread::spawn(move || stream.read(&mut [0]));
-    let closed = rig.shared.executor.run(async {
+    let closed = harness.shared.executor.run(async {
         while !read.is_finished() {
             async_io::Timer::after(std::time::Duration::from_millis(1)).await;
         }
@@ -157,64 +166,70 @@
         async_io::Timer::after(std::time::Duration::from_secs(5)).await;
     };
     async_io::block_on(future::or(closed, timeout));
-    assert_eq!(rig.shared.counters.outbound_open.get(), 0, "it is still open");
+    assert_eq!(harness.shared.counters.outbound_open.get(), 0, "the connection is still open");
 }
 
-/// More than the system takes at once: its rest asks again, and closed before its last byte it never ran.
+/// A call that exceeds the socket's buffer needs a second permit for its rest; closed before its last byte,
+/// it has not run.
 #[test]
-fn a_call_that_waits_for_room_asks_again_before_it_goes_on() {
-    let rig = Rig::new();
+fn a_partly_written_call_needs_a_new_permit_before_it_continues() {
+    let harness = Harness::new();
     let body = 24 << 20;
-    let _wanted = rig.call("big", body);
-    assert!(!rig.gate(Ok(PERMIT)));
-    let peer = rig.peer.try_clone().unwrap();
+    let _cancel = harness.call("big", body);
+    assert!(!harness.answer_permit_request(Ok(PERMIT)));
+    let peer = harness.peer.try_clone().unwrap();
     let read = std::thread::spawn(move || {
         let mut all = Vec::new();
         peer.accept().unwrap().0.read_to_end(&mut all).map(|_| all.len())
     });
-    assert!(rig.gate(Err(Verdict::HeldBack)), "some of it has gone");
-    assert_eq!(rig.answered().verdict, Verdict::HeldBack);
+    assert!(harness.answer_permit_request(Err(Verdict::HeldBack)), "the call is partly written");
+    assert_eq!(harness.next_outcome().verdict, Verdict::HeldBack);
     assert!(read.join().unwrap().is_ok_and(|n| n < body));
 }
 
-/// Its body drips, ends early, or cannot be framed: what its head told holds. Whether it ran is not known.
+/// The body trickles in, ends early or has an invalid length: the head's Retry-After applies nevertheless.
+/// Whether the call has run is not known.
 #[rstest::rstest]
 #[case("Content-Length: 9\r\n\r\nx", false, Verdict::Error)]
 #[case("Content-Length: 9\r\n\r\nx", true, Verdict::Error)]
 #[case("Content-Length: -1\r\n\r\n", false, Verdict::Error)]
 #[case("Retry-After: 0.2\r\nContent-Length: 9\r\n\r\n", false, Verdict::Error)]
-fn a_whole_head_tells_its_wait(#[case] rest: &str, #[case] ends: bool, #[case] verdict: Verdict) {
-    let rig = Rig::new();
-    let _wanted = rig.call("m", 0);
-    rig.gate(Ok(PERMIT));
-    let mut stream = rig.accept(&mut Vec::new(), "\r\n\r\n");
-    let before = rig.shared.clock.now();
+fn retry_after_of_a_complete_head_applies_whatever_the_body_does(
+    #[case] rest: &str, #[case] ends: bool, #[case] verdict: Verdict,
+) {
+    let harness = Harness::new();
+    let _cancel = harness.call("m", 0);
+    harness.answer_permit_request(Ok(PERMIT));
+    let mut stream = harness.accept(&mut Vec::new(), "\r\n\r\n");
+    let before = harness.shared.clock.now();
     stream.write_all(format!("HTTP/1.1 429 X\r\nRetry-After: 2.5\r\n{rest}").as_bytes()).unwrap();
     if ends {
         stream.shutdown(Shutdown::Write).unwrap();
     }
-    let CoreMessage::RetryAfter { receiver: to, until } = rig.message() else { panic!("the head was whole") };
-    assert_eq!((to, until >= before.plus(Micros(2_500_000))), (ReceiverId(7), true));
-    let a = rig.answered();
-    assert_eq!((a.verdict, a.wait_until), (verdict, until));
+    let CoreMessage::RetryAfter { receiver, until } = harness.next_message() else {
+        panic!("no Retry-After although the head was complete")
+    };
+    assert_eq!((receiver, until >= before.plus(Micros(2_500_000))), (ReceiverId(7), true));
+    let outcome = harness.next_outcome();
+    assert_eq!((outcome.verdict, outcome.wait_until), (verdict, until));
 }
 
 #[test]
-fn a_call_off_that_crosses_a_refusal_keeps_its_wait() {
-    let rig = Rig::new();
-    let wanted = rig.call("m", 0);
-    rig.gate(Ok(PERMIT));
-    let mut stream = rig.accept(&mut Vec::new(), "\r\n\r\n");
+fn a_cancellation_that_crosses_a_refusal_keeps_its_retry_after() {
+    let harness = Harness::new();
+    let cancel = harness.call("m", 0);
+    harness.answer_permit_request(Ok(PERMIT));
+    let mut stream = harness.accept(&mut Vec::new(), "\r\n\r\n");
     stream.write_all(b"HTTP/1.1 429 X\r\nRetry-After: 2.5\r\nContent-Length: 9\r\n\r\n").unwrap();
-    drop(wanted);
-    let mut told = Micros(0);
-    let a = loop {
-        match rig.message() {
-            CoreMessage::RetryAfter { until, .. } => told = until,
-            CoreMessage::AttemptEnded(a) => break a,
+    drop(cancel);
+    let mut reported_until = Micros(0);
+    let outcome = loop {
+        match harness.next_message() {
+            CoreMessage::RetryAfter { until, .. } => reported_until = until,
+            CoreMessage::AttemptEnded(outcome) => break outcome,
             other => panic!("{other:?}"),
         }
     };
-    assert_eq!((a.verdict, a.wait_until > Micros(0)), (Verdict::Cancelled, true));
-    assert!(told == Micros(0) || told == a.wait_until);
+    assert_eq!((outcome.verdict, outcome.wait_until > Micros(0)), (Verdict::Cancelled, true));
+    assert!(reported_until == Micros(0) || reported_until == outcome.wait_until);
 }
--- a/daemon/src/net/http/inbound.rs
+++ b/daemon/src/net/http/inbound.rs
@@ -1,10 +1,10 @@
-//! The clients' side: one actor a connection.
+//! HTTP connections of clients, each served by an actor of its own.
 
-use super::{BODY_MOST, Framing, HEADERS, MAX_HEAD_BYTES, client_seconds, framing};
+use super::{Framing, MAX_BODY_BYTES, MAX_HEAD_BYTES, MAX_HEADERS, framing, parse_client_seconds};
 use crate::core_actor::{CoreMessage, Submission, SubmitReply};
 use crate::invariants::PendingResponse;
-use crate::net::buffer::{Buffer, write_whole};
-use crate::net::smpp::Note;
+use crate::net::buffer::{Buffer, write_fully};
+use crate::net::smpp::MessageNote;
 use crate::net::{ListState, SharedState};
 use async_channel::{Receiver, Sender, bounded};
 use async_io::Async;
@@ -17,57 +17,65 @@
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// The number of this front in the log.
+/// Identifies the HTTP frontend in stored records.
 pub const FRONTEND_ID: u8 = 0;
-/// A connection that is new must have said something within this, and its first request must be whole; one that has
-/// begun a further request must end it.
-const WHOLE: Micros = Micros(2_200_000);
-/// A connection without a request is closed so long after its last answer ...
-const QUIET: Micros = Micros(5_000_000);
-/// ... sooner while more than a quarter of the room is taken: a front that deals out connections has only so many, and
-/// one that is kept open here is not given back to it ...
-const QUIET_MANY: Micros = Micros(200_000);
-const MANY: u64 = 4;
-/// ... or to make room for others, if it has been quiet for this.
-const SPARE: Micros = Micros(50_000);
-/// A client that does not read its answer is not waited for.
-const ANSWER: Micros = Micros(2_000_000);
-/// A client whose requests are turned away as wrong is read again after a pause, and so often.
-const WRONG_PAUSE: std::time::Duration = std::time::Duration::from_millis(100);
-const WRONG_MOST: u32 = 8;
-/// Of what nobody wants so much is read, so that the answer ahead of the close is not lost.
-const SINK: usize = 128 * 1024;
-const SINK_FOR: Micros = Micros(200_000);
-/// A deadline counts from the client's sending, which lies a little before it is read here; and a notice
-/// needs its way too.
-const MARGIN: Micros = Micros(100_000);
-/// When to come back to a forwarder that has no list yet ...
-const LIST_WAIT: Micros = Micros(500_000);
-/// ... and to one that holds as much as it may.
-const FULL_WAIT: Micros = Micros(1_000_000);
-/// Connections that wait to be accepted. A crowd must not fill the row.
+/// A new connection must deliver its first request whole within this time; on an open connection a further
+/// request must be whole this long after its first byte.
+const REQUEST_TIMEOUT: Micros = Micros(2_200_000);
+/// An idle connection is closed this long after its last response.
+const IDLE_TIMEOUT: Micros = Micros(5_000_000);
+/// The same while many connections are open: a load balancer has a limited number of connections, and one
+/// that stays idle here is not available to it.
+const IDLE_TIMEOUT_MANY: Micros = Micros(200_000);
+/// `IDLE_TIMEOUT_MANY` applies while more than a quarter (1/4) of the allowed connections are open.
+const MANY_DIVISOR: u64 = 4;
+/// A connection may be closed to make room for a new one after this much idle time.
+const MIN_IDLE_BEFORE_EVICTION: Micros = Micros(50_000);
+/// A response that the client has not read by then is abandoned.
+const RESPONSE_WRITE_TIMEOUT: Micros = Micros(2_000_000);
+/// Delay before the next request is read from a client whose request was rejected as invalid. Without the
+/// delay such a client could take all processor time.
+const INVALID_REQUEST_DELAY: std::time::Duration = std::time::Duration::from_millis(100);
+/// A connection is closed after this many invalid requests.
+const MAX_INVALID_REQUESTS: u32 = 8;
+/// After a final response up to this many bytes are read and discarded, so that unread input does not reset
+/// the connection before the client has read the response.
+const MAX_DISCARD_BYTES: usize = 128 * 1024;
+/// Time limit for discarding input after a final response.
+const DISCARD_TIMEOUT: Micros = Micros(200_000);
+/// Subtracted from a client's deadline: the deadline counts from the moment of sending, a little before the
+/// request is read here, and the notice of the final status needs time as well.
+const DEADLINE_MARGIN: Micros = Micros(100_000);
+/// Retry-After while the forwarder has no endpoint list yet.
+const NO_LIST_RETRY_AFTER: Micros = Micros(500_000);
+/// Retry-After while the forwarder holds as many messages as it may.
+const FULL_RETRY_AFTER: Micros = Micros(1_000_000);
+/// Length of the kernel's queue of connections to be accepted, large enough for a burst of clients.
 const BACKLOG: i32 = 1024;
-const FULL_PAUSE: std::time::Duration = std::time::Duration::from_millis(20);
-const NAME_MOST: usize = 256;
+/// Delay before accepting again when no connection can be closed or `accept` has failed.
+const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(20);
+/// Longest value of a header that is used, in bytes.
+const MAX_VALUE_BYTES: usize = 256;
 
-/// Accepts until `stop` is closed.
+/// Accepts connections until `stop` is closed.
 pub async fn listen(
     shared: Rc<SharedState>, listener: Async<TcpListener>, stop: async_channel::Receiver<()>,
 ) {
     if let Err(e) = rustix::net::listen(&listener, BACKLOG) {
-        tracing::error!("listen: {e}");
+        tracing::error!("http: cannot listen for connections: {e}");
     }
     loop {
         if stop.is_closed() {
             break;
         }
-        // Who has said nothing makes room for who comes, the oldest first.
+        // At the limit a connection that waits for a request is closed to make room: silent ones first, the
+        // oldest of them first.
         if shared.counters.inbound_open.get() >= shared.max_inbound {
-            if shared.eviction_queue.make_room(shared.clock.now(), SPARE) {
+            if shared.eviction_queue.evict_first(shared.clock.now(), MIN_IDLE_BEFORE_EVICTION) {
                 shared.counters.inbound_sent_off.increment();
                 future::yield_now().await;
             } else {
-                async_io::Timer::after(FULL_PAUSE).await;
+                async_io::Timer::after(ACCEPT_RETRY_DELAY).await;
             }
             continue;
         }
@@ -78,25 +86,26 @@
         };
         match future::or(stopped, accepted).await {
             None => break,
-            Some(Ok((stream, _))) => serve(&shared, stream),
+            Some(Ok((stream, _))) => spawn_connection(&shared, stream),
             Some(Err(e)) => {
-                // Out of descriptors: accept again when some have been closed, rather than spin.
-                tracing::warn!("accept: {e}");
-                async_io::Timer::after(FULL_PAUSE).await;
+                // Out of file descriptors: wait until some are closed instead of spinning.
+                tracing::warn!("http: cannot accept a connection, retrying: {e}");
+                async_io::Timer::after(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
-    // Who stands in the row is connected already: dropped with the listener, its request would be lost without an answer.
+    // Connections in the accept queue are established already: dropped with the listener, their requests
+    // would be lost without a response.
     while shared.counters.inbound_open.get() < shared.max_inbound
         && let Ok((stream, _)) = listener.get_ref().accept()
         && let Ok(stream) = Async::new(stream)
     {
-        serve(&shared, stream);
+        spawn_connection(&shared, stream);
     }
 }
 
-/// Each connection has an actor of its own.
-fn serve(shared: &Rc<SharedState>, stream: Async<TcpStream>) {
+/// Starts an actor for a connection.
+fn spawn_connection(shared: &Rc<SharedState>, stream: Async<TcpStream>) {
     shared.counters.inbound_opened.increment();
     shared.counters.inbound_open.increment();
     let (shared, executor) = (shared.clone(), shared.executor.clone());
@@ -107,36 +116,42 @@
     executor.spawn(actor).detach();
 }
 
-/// What a request asks for.
+/// A parsed request.
 #[derive(Debug)]
-enum Ask {
+enum Request {
     Ready,
     Counters,
     Members,
     Duties,
-    HandIn(Box<AcceptedMessage>),
+    Submit(Box<AcceptedMessage>),
 }
 
-/// A request that is answered with a client's error; the connection lasts where its framing is sound.
-struct Bad(u16, &'static str);
+/// A request that is answered with a client error. The connection stays open if the framing of the request
+/// is valid.
+struct ClientError(u16, &'static str);
 
+/// The actor of a client connection.
 struct Inbound<'a> {
     shared: &'a SharedState,
     stream: Async<TcpStream>,
     buffer: Buffer,
+    /// Distinguishes connections with the same time in the eviction order.
     serial: u64,
-    /// Since when it has been quiet: accepted, or answered.
-    since: Micros,
+    /// Start of the current idle period: when the connection was accepted or last answered.
+    idle_since: Micros,
+    /// A request of this connection has been answered.
     answered: bool,
-    /// Requests that were turned away as wrong.
-    wrong: u32,
-    /// Word that it is to make room.
-    go: (Sender<()>, Receiver<()>),
+    /// Number of requests that were rejected as invalid.
+    invalid_requests: u32,
+    /// Signals that this connection has to close to make room for others.
+    close_signal: (Sender<()>, Receiver<()>),
 }
 
-enum Next {
+/// What comes next on a connection.
+enum NextInput {
+    /// The bytes of a complete request, where its body begins, its framing, and when its first byte came.
     Request(Vec<u8>, usize, Framing, Micros),
-    Broken(Bad),
+    Invalid(ClientError),
     Closed,
 }
 
@@ -146,91 +161,95 @@
         Inbound {
             shared,
             stream,
-            buffer: Buffer::new(MAX_HEAD_BYTES + BODY_MOST),
-            serial: shared.serial(),
-            since: shared.clock.now(),
+            buffer: Buffer::new(MAX_HEAD_BYTES + MAX_BODY_BYTES),
+            serial: shared.next_serial(),
+            idle_since: shared.clock.now(),
             answered: false,
-            wrong: 0,
-            go: bounded(1),
+            invalid_requests: 0,
+            close_signal: bounded(1),
         }
     }
 
     async fn run(mut self) {
         let counters = &self.shared.counters;
         loop {
-            let place = (self.answered, self.since, self.serial);
-            // What was told before, when a request was on its way, holds no more.
-            while self.go.1.try_recv().is_ok() {}
-            self.shared.eviction_queue.join(place, self.go.0.clone());
-            let next = self.next().await;
-            self.shared.eviction_queue.leave(place);
-            let (bytes, body_at, f, at) = match next {
-                Next::Closed => return,
-                Next::Broken(Bad(status, why)) => {
+            let rank = (self.answered, self.idle_since, self.serial);
+            // A signal that was sent while a request was processed no longer applies.
+            while self.close_signal.1.try_recv().is_ok() {}
+            self.shared.eviction_queue.add(rank, self.close_signal.0.clone());
+            let input = self.read_request().await;
+            self.shared.eviction_queue.remove(rank);
+            let (bytes, body_at, framing, received_at) = match input {
+                NextInput::Closed => return,
+                NextInput::Invalid(ClientError(status, reason)) => {
                     counters.closed_by_error.increment();
                     counters.bad_requests.increment();
-                    let _ = self.answer(status, None, why, true).await;
-                    return self.sink().await;
+                    let _ = self.respond(status, None, reason, true).await;
+                    return self.discard_input().await;
+                }
+                NextInput::Request(bytes, body_at, framing, received_at) => {
+                    (bytes, body_at, framing, received_at)
                 }
-                Next::Request(head, body_at, f, at) => (head, body_at, f, at),
             };
-            let close = f.close || self.shared.stopping.get() || self.wrong + 1 >= WRONG_MOST;
-            let wrong = self.wrong;
+            let close = framing.close
+                || self.shared.stopping.get()
+                || self.invalid_requests + 1 >= MAX_INVALID_REQUESTS;
+            let invalid_before = self.invalid_requests;
             counters.requests_read.increment();
-            let owed = PendingResponse::new(&self.shared.invariants);
-            let done = match parse(&bytes, body_at, at) {
-                Err(bad) => self.turn_away(bad, close).await,
-                Ok(Ask::Ready) => self.ready(close).await,
-                Ok(Ask::Counters) => {
+            let pending = PendingResponse::new(&self.shared.invariants);
+            let written = match parse(&bytes, body_at, received_at) {
+                Err(error) => self.reject(error, close).await,
+                Ok(Request::Ready) => self.ready(close).await,
+                Ok(Request::Counters) => {
                     let text = self.shared.counters_json().to_string();
-                    self.answer(200, None, &text, close).await
+                    self.respond(200, None, &text, close).await
                 }
-                Ok(Ask::Members) => self.show(close, Self::members).await,
-                Ok(Ask::Duties) => self.show(close, Self::duties).await,
-                Ok(Ask::HandIn(taken)) => self.hand_in(*taken, close).await,
+                Ok(Request::Members) => self.respond_with_json(close, Self::members).await,
+                Ok(Request::Duties) => self.respond_with_json(close, Self::duties).await,
+                Ok(Request::Submit(message)) => self.submit(*message, close).await,
             };
             drop(bytes);
-            owed.resolve();
-            if done.is_err() {
+            pending.resolve();
+            if written.is_err() {
                 counters.requests_abandoned.increment();
                 return;
             }
             counters.requests_answered.increment();
             if close {
-                return self.sink().await;
+                return self.discard_input().await;
             }
-            // At full speed such a client would have the processor for itself.
-            if self.wrong > wrong {
-                async_io::Timer::after(WRONG_PAUSE).await;
+            // At full speed such a client could take all processor time.
+            if self.invalid_requests > invalid_before {
+                async_io::Timer::after(INVALID_REQUEST_DELAY).await;
             }
-            (self.answered, self.since) = (true, self.shared.clock.now());
+            (self.answered, self.idle_since) = (true, self.shared.clock.now());
         }
     }
 
-    /// Without any list nothing can be delivered; with an old one most can.
+    /// Without a list nothing can be delivered; with an outdated one most messages can.
     async fn ready(&mut self, close: bool) -> std::io::Result<()> {
-        let held = self.shared.list_state.borrow().clone();
-        match held {
-            ListState::Missing => self.answer(503, Some(LIST_WAIT), "no list yet", close).await,
-            ListState::Current => self.answer(200, None, "ready", close).await,
-            ListState::Outdated(why) => {
-                self.answer(200, None, &format!("ready, with an old list: {why}"), close).await
+        let list_state = self.shared.list_state.borrow().clone();
+        match list_state {
+            ListState::Missing => self.respond(503, Some(NO_LIST_RETRY_AFTER), "no list yet", close).await,
+            ListState::Current => self.respond(200, None, "ready", close).await,
+            ListState::Outdated(reason) => {
+                self.respond(200, None, &format!("ready, with an old list: {reason}"), close).await
             }
         }
     }
 
-    /// What one of the actors shows, as JSON; there is nothing here where duties are not shared.
-    async fn show(
-        &mut self, close: bool, ask: impl AsyncFnOnce(&SharedState, Sender<Value>) -> bool,
+    /// Answers with the status of an actor as JSON, or with 404 where duties are not shared.
+    async fn respond_with_json(
+        &mut self, close: bool, query: impl AsyncFnOnce(&SharedState, Sender<Value>) -> bool,
     ) -> std::io::Result<()> {
-        let (reply, shown) = bounded(1);
+        let (reply, status) = bounded(1);
         if self.shared.peers.is_some()
-            && ask(self.shared, reply).await
-            && let Ok(v) = shown.recv().await
+            && query(self.shared, reply).await
+            && let Ok(status) = status.recv().await
         {
-            return self.answer(200, None, &v.to_string(), close).await;
+            return self.respond(200, None, &status.to_string(), close).await;
         }
-        self.turn_away(Bad(404, "nothing here"), close).await
+        self.reject(ClientError(404, "nothing here"), close).await
     }
     async fn members(shared: &SharedState, reply: Sender<Value>) -> bool {
         match &shared.peers {
@@ -243,144 +262,155 @@
     }
 
     /// Reads one request.
-    async fn next(&mut self) -> Next {
-        let mut since = None;
+    async fn read_request(&mut self) -> NextInput {
+        let mut first_byte_at = None;
         loop {
             if !self.buffer.is_empty() {
-                let at = *since.get_or_insert_with(|| self.shared.clock.now());
-                match whole(self.buffer.data()) {
-                    Ok(Some((body_at, end, f))) => {
+                let received_at = *first_byte_at.get_or_insert_with(|| self.shared.clock.now());
+                match find_request_end(self.buffer.data()) {
+                    Ok(Some((body_at, end, framing))) => {
                         let bytes = self.buffer.data()[..end].to_vec();
                         self.buffer.consume(end);
-                        return Next::Request(bytes, body_at, f, at);
+                        return NextInput::Request(bytes, body_at, framing, received_at);
                     }
                     Ok(None) => {}
-                    Err(bad) => return Next::Broken(bad),
+                    Err(error) => return NextInput::Invalid(error),
                 }
             }
-            // Time counts from the connection for its first request, and from the first byte for later ones.
-            let c = &self.shared.counters;
-            let many = c.inbound_open.get() * MANY > self.shared.max_inbound;
-            let until = match (self.answered, since) {
-                (false, _) => self.since.plus(WHOLE),
-                (true, Some(at)) => at.plus(WHOLE),
-                (true, None) => self.since.plus(if many { QUIET_MANY } else { QUIET }),
+            // The first request is timed from the connection's start, later ones from their first byte.
+            let counters = &self.shared.counters;
+            let many_open = counters.inbound_open.get() * MANY_DIVISOR > self.shared.max_inbound;
+            let deadline = match (self.answered, first_byte_at) {
+                (false, _) => self.idle_since.plus(REQUEST_TIMEOUT),
+                (true, Some(received_at)) => received_at.plus(REQUEST_TIMEOUT),
+                (true, None) => {
+                    self.idle_since.plus(if many_open { IDLE_TIMEOUT_MANY } else { IDLE_TIMEOUT })
+                }
             };
             let shared = self.shared;
             let fill = async { Some(self.buffer.fill(&mut self.stream).await) };
-            let give_up = async {
-                let late = shared.clock.sleep_until(Some(until));
-                let go = async { self.go.1.recv().await.unwrap_or_default() };
-                // A new one has not said anything only because it has just come.
-                let ending = async {
-                    match since {
+            let closed = async {
+                let timed_out = shared.clock.sleep_until(Some(deadline));
+                let close_signal = async { self.close_signal.1.recv().await.unwrap_or_default() };
+                // A new connection is not closed on shutdown: its request may be on its way.
+                let shutdown = async {
+                    match first_byte_at {
                         None if self.answered => shared.shutdown_started.recv().await.unwrap_or_default(),
                         _ => future::pending().await,
                     }
                 };
-                future::or(late, future::or(go, ending)).await;
+                future::or(timed_out, future::or(close_signal, shutdown)).await;
                 None
             };
-            match future::or(fill, give_up).await {
+            match future::or(fill, closed).await {
                 Some(Ok(n)) if n > 0 => {}
-                None if since.is_some() => return Next::Broken(Bad(408, "request took too long")),
+                None if first_byte_at.is_some() => {
+                    return NextInput::Invalid(ClientError(408, "request took too long"));
+                }
                 None => {
                     let reason = if !self.answered {
                         &shared.counters.inbound_silent
                     } else if shared.shutdown_started.is_closed() {
                         &shared.counters.closed_ending
-                    } else if many && shared.clock.now() >= until {
+                    } else if many_open && shared.clock.now() >= deadline {
                         &shared.counters.inbound_given_back
                     } else {
                         &shared.counters.closed_quiet
                     };
                     reason.increment();
-                    return Next::Closed;
+                    return NextInput::Closed;
                 }
                 Some(Err(e)) if e.kind() == std::io::ErrorKind::OutOfMemory => {
-                    return Next::Broken(Bad(431, "head too large"));
+                    return NextInput::Invalid(ClientError(431, "head too large"));
                 }
                 Some(Ok(_)) => {
                     shared.counters.closed_by_client.increment();
-                    return Next::Closed;
+                    return NextInput::Closed;
                 }
                 Some(Err(_)) => {
                     shared.counters.closed_by_error.increment();
-                    return Next::Closed;
+                    return NextInput::Closed;
                 }
             }
         }
     }
 
-    /// Closing with unread bytes would reset the connection under the answer. But what is sent on and on is not
-    /// read to its end.
-    async fn sink(&mut self) {
+    /// Reads and discards input after the final response: closing with unread bytes would reset the
+    /// connection before the client has read the response. The amount and the time are limited, so that an
+    /// endless request cannot hold the connection.
+    async fn discard_input(&mut self) {
         let _ = self.stream.get_ref().shutdown(std::net::Shutdown::Write);
-        let until = self.shared.clock.now().plus(SINK_FOR);
-        let mut sink = Buffer::new(MAX_HEAD_BYTES);
-        let mut left = SINK;
+        let deadline = self.shared.clock.now().plus(DISCARD_TIMEOUT);
+        let mut discarded = Buffer::new(MAX_HEAD_BYTES);
+        let mut remaining = MAX_DISCARD_BYTES;
         let drain = async {
-            while let Ok(n) = sink.fill(&mut self.stream).await {
-                sink.consume(usize::MAX);
-                left = left.saturating_sub(n);
-                if n == 0 || left == 0 {
+            while let Ok(n) = discarded.fill(&mut self.stream).await {
+                discarded.consume(usize::MAX);
+                remaining = remaining.saturating_sub(n);
+                if n == 0 || remaining == 0 {
                     return;
                 }
             }
         };
-        self.shared.clock.timeout_at(until, drain).await;
+        self.shared.clock.timeout_at(deadline, drain).await;
     }
 
-    async fn turn_away(&mut self, Bad(status, why): Bad, close: bool) -> std::io::Result<()> {
+    /// Answers an invalid request with a client error.
+    async fn reject(&mut self, ClientError(status, reason): ClientError, close: bool) -> std::io::Result<()> {
         self.shared.counters.bad_requests.increment();
-        self.wrong += 1;
-        self.answer(status, None, why, close).await
+        self.invalid_requests += 1;
+        self.respond(status, None, reason, close).await
     }
 
-    async fn hand_in(&mut self, taken: AcceptedMessage, close: bool) -> std::io::Result<()> {
-        let (reply, answer) = bounded(1);
-        let message = CoreMessage::Submit(Submission { message: taken, reply });
-        let reply = match self.shared.core.send(message).await {
-            Ok(()) => answer.recv().await.unwrap_or(SubmitReply::FailFast(None)),
+    /// Submits a message to the core and answers with the result.
+    async fn submit(&mut self, message: AcceptedMessage, close: bool) -> std::io::Result<()> {
+        let (reply, core_reply) = bounded(1);
+        let submission = CoreMessage::Submit(Submission { message, reply });
+        let reply = match self.shared.core.send(submission).await {
+            Ok(()) => core_reply.recv().await.unwrap_or(SubmitReply::FailFast(None)),
             Err(_) => SubmitReply::FailFast(None),
         };
         match reply {
-            SubmitReply::Accepted(n) => {
-                let heard = match self.stream.get_ref().peek(&mut [0]) {
-                    Ok(0) if self.take_back(n).await => return self.answer(503, None, "", close).await,
+            SubmitReply::Accepted(number) => {
+                let delivered = match self.stream.get_ref().peek(&mut [0]) {
+                    Ok(0) if self.withdraw(number).await => return self.respond(503, None, "", close).await,
                     Err(e) if e.kind() != std::io::ErrorKind::WouldBlock => Err(e),
-                    _ => self.answer(202, None, "", close).await,
+                    _ => self.respond(202, None, "", close).await,
                 };
-                if heard.is_err() {
+                if delivered.is_err() {
                     self.shared.counters.unheard.increment();
-                    let _ = self.shared.core.send(CoreMessage::ReplyNotDelivered(n)).await;
+                    let _ = self.shared.core.send(CoreMessage::ReplyNotDelivered(number)).await;
                 }
-                heard
+                delivered
             }
-            SubmitReply::Full => self.answer(503, Some(FULL_WAIT), "", close).await,
-            SubmitReply::FailFast(wait) => self.answer(503, wait, "", close).await,
+            SubmitReply::Full => self.respond(503, Some(FULL_RETRY_AFTER), "", close).await,
+            SubmitReply::FailFast(wait) => self.respond(503, wait, "", close).await,
             SubmitReply::UnknownClassOrTenant => {
-                self.turn_away(Bad(400, "unknown class or tenant"), close).await
+                self.reject(ClientError(400, "unknown class or tenant"), close).await
+            }
+            SubmitReply::UnknownDestination => {
+                self.reject(ClientError(404, "no such destination"), close).await
             }
-            SubmitReply::UnknownDestination => self.turn_away(Bad(404, "no such destination"), close).await,
-            SubmitReply::DuplicateId => self.turn_away(Bad(409, "this id has been used"), close).await,
+            SubmitReply::DuplicateId => self.reject(ClientError(409, "this id has been used"), close).await,
         }
     }
 
-    /// Who sends no more may be gone, and hand it in elsewhere, or may wait for its answer: if nothing of it has begun, a
-    /// refusal is true for both. Else it is owed as it was taken on.
-    async fn take_back(&self, n: u64) -> bool {
-        let (reply, back) = bounded(1);
-        let asked = self.shared.core.send(CoreMessage::WithdrawIfUntried(n, reply)).await.is_ok();
-        let back = asked && back.recv().await.unwrap_or_default();
-        if back {
+    /// Withdraws a message whose client has closed its sending side. That client may be gone and submit the
+    /// message elsewhere, or may still wait for the response: if no attempt has begun, a refusal is correct
+    /// in both cases. Otherwise the message stays accepted.
+    async fn withdraw(&self, number: u64) -> bool {
+        let (reply, core_reply) = bounded(1);
+        let sent = self.shared.core.send(CoreMessage::WithdrawIfUntried(number, reply)).await.is_ok();
+        let withdrawn = sent && core_reply.recv().await.unwrap_or_default();
+        if withdrawn {
             self.shared.counters.unheard.increment();
         }
-        back
+        withdrawn
     }
 
-    async fn answer(
-        &mut self, status: u16, wait: Option<Micros>, text: &str, close: bool,
+    /// Writes a response; a client that does not read it in time is an error.
+    async fn respond(
+        &mut self, status: u16, retry_after: Option<Micros>, text: &str, close: bool,
     ) -> std::io::Result<()> {
         let reason = match status {
             200 => "OK",
@@ -394,121 +424,138 @@
             503 => "Service Unavailable",
             _ => "Bad Request",
         };
-        let wait = wait.map_or(String::new(), |w| format!("Retry-After: {:.3}\r\n", w.secs()));
-        let end = if close { "Connection: close\r\n" } else { "" };
-        let n = text.len();
-        let bytes = format!("HTTP/1.1 {status} {reason}\r\n{wait}{end}Content-Length: {n}\r\n\r\n{text}");
+        let retry_after =
+            retry_after.map_or(String::new(), |wait| format!("Retry-After: {:.3}\r\n", wait.secs()));
+        let connection = if close { "Connection: close\r\n" } else { "" };
+        let length = text.len();
+        let bytes = format!(
+            "HTTP/1.1 {status} {reason}\r\n{retry_after}{connection}Content-Length: {length}\r\n\r\n{text}"
+        );
         let clock = self.shared.clock;
-        let written =
-            clock.timeout_at(clock.now().plus(ANSWER), write_whole(&mut self.stream, bytes.as_bytes())).await;
+        let written = clock
+            .timeout_at(
+                clock.now().plus(RESPONSE_WRITE_TIMEOUT),
+                write_fully(&mut self.stream, bytes.as_bytes()),
+            )
+            .await;
         written.unwrap_or(Err(std::io::ErrorKind::TimedOut.into()))
     }
 }
 
-/// Where the body begins and the request ends, once it is all there.
-fn whole(data: &[u8]) -> Result<Option<(usize, usize, Framing)>, Bad> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+/// Where the body begins and where the request ends, once the request is complete.
+fn find_request_end(data: &[u8]) -> Result<Option<(usize, usize, Framing)>, ClientError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let body_at = match request.parse(data) {
         Ok(httparse::Status::Complete(n)) => n,
         Ok(httparse::Status::Partial) if data.len() > MAX_HEAD_BYTES => {
-            return Err(Bad(431, "head too large"));
+            return Err(ClientError(431, "head too large"));
         }
         Ok(httparse::Status::Partial) => return Ok(None),
-        Err(_) => return Err(Bad(400, "not HTTP")),
+        Err(_) => return Err(ClientError(400, "not HTTP")),
     };
-    let f = framing(request.version, request.headers).map_err(|why| Bad(400, why))?;
-    if f.chunked {
-        return Err(Bad(411, "a length is needed"));
+    let framing = framing(request.version, request.headers).map_err(|reason| ClientError(400, reason))?;
+    if framing.chunked {
+        return Err(ClientError(411, "a length is needed"));
     }
-    let length = f.length.unwrap_or(0);
-    if length > BODY_MOST {
-        return Err(Bad(413, "body too large"));
+    let length = framing.length.unwrap_or(0);
+    if length > MAX_BODY_BYTES {
+        return Err(ClientError(413, "body too large"));
     }
     let end = body_at + length;
-    Ok((data.len() >= end).then_some((body_at, end, f)))
+    Ok((data.len() >= end).then_some((body_at, end, framing)))
 }
 
-/// A header that says one thing, or is not there. Twice, or with bytes that nobody prints, it could mean one thing
-/// here and another at the endpoint.
-fn only<'h>(headers: &'h [httparse::Header], name: &str) -> Result<Option<&'h str>, Bad> {
-    one(headers, name, |c| c == ' ' || c.is_ascii_graphic())
+/// Value of a header that may occur once at most. A repeated header, or one with unprintable bytes, could
+/// be read differently here and at the endpoint.
+fn printable_header<'h>(headers: &'h [httparse::Header], name: &str) -> Result<Option<&'h str>, ClientError> {
+    single_header(headers, name, |c| c == ' ' || c.is_ascii_graphic())
 }
 
-/// The same of a name that the settings give, which may be any text and goes to nobody.
-fn named<'h>(headers: &'h [httparse::Header], name: &str) -> Result<Option<&'h str>, Bad> {
-    one(headers, name, |c| !c.is_control())
+/// Value of a header that names a class or a tenant. Such names may be any text and are not sent to
+/// endpoints.
+fn name_header<'h>(headers: &'h [httparse::Header], name: &str) -> Result<Option<&'h str>, ClientError> {
+    single_header(headers, name, |c| !c.is_control())
 }
 
-fn one<'h>(
-    headers: &'h [httparse::Header], name: &str, fits: impl Fn(char) -> bool,
-) -> Result<Option<&'h str>, Bad> {
+/// Value of a header that occurs once at most, is short, and consists of allowed characters.
+fn single_header<'h>(
+    headers: &'h [httparse::Header], name: &str, is_allowed: impl Fn(char) -> bool,
+) -> Result<Option<&'h str>, ClientError> {
     let mut all = headers.iter().filter(|h| h.name.eq_ignore_ascii_case(name));
-    let Some(h) = all.next() else { return Ok(None) };
-    let text = std::str::from_utf8(h.value).ok().map(str::trim);
-    match (text.filter(|t| t.len() <= NAME_MOST && t.chars().all(fits)), all.next()) {
+    let Some(header) = all.next() else { return Ok(None) };
+    let text = std::str::from_utf8(header.value).ok().map(str::trim);
+    match (text.filter(|t| t.len() <= MAX_VALUE_BYTES && t.chars().all(is_allowed)), all.next()) {
         (Some(text), None) => Ok(Some(text)),
-        _ => Err(Bad(400, "a header that cannot be used")),
+        _ => Err(ClientError(400, "a header that cannot be used")),
     }
 }
 
-/// The first part of a path is this class, as it is or percent-encoded; it may hold what ends a part elsewhere.
-fn leads_to(target: &str, class: &str) -> bool {
+/// Whether the path begins with this class, literally or percent-encoded. A class name may contain
+/// characters that otherwise end a path segment.
+fn path_names_class(target: &str, class: &str) -> bool {
     let target = target.trim_start_matches('/');
     let decoded = percent_decode_str(target).decode_utf8_lossy();
-    let is =
+    let starts_with_class =
         |t: &str| t.strip_prefix(class).is_some_and(|rest| rest.is_empty() || rest.starts_with(['/', '?']));
-    target.is_empty() || target.starts_with('?') || is(target) || is(&decoded)
+    target.is_empty() || target.starts_with('?') || starts_with_class(target) || starts_with_class(&decoded)
 }
 
-fn parse(bytes: &[u8], body_at: usize, at: Micros) -> Result<Ask, Bad> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+/// Parses a complete request.
+fn parse(bytes: &[u8], body_at: usize, received_at: Micros) -> Result<Request, ClientError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
-    request.parse(bytes).map_err(|_| Bad(400, "not HTTP"))?;
+    request.parse(bytes).map_err(|_| ClientError(400, "not HTTP"))?;
     let target = request.path.unwrap_or("");
     let path = target.split('?').next().unwrap_or("");
-    let h = &*request.headers;
+    let headers = &*request.headers;
     match (request.method.unwrap_or(""), path) {
-        ("GET", "/ready") => return Ok(Ask::Ready),
-        ("GET", "/counters") => return Ok(Ask::Counters),
-        ("GET", "/members") => return Ok(Ask::Members),
-        ("GET", "/duties") => return Ok(Ask::Duties),
+        ("GET", "/ready") => return Ok(Request::Ready),
+        ("GET", "/counters") => return Ok(Request::Counters),
+        ("GET", "/members") => return Ok(Request::Members),
+        ("GET", "/duties") => return Ok(Request::Duties),
         ("POST", _) => {}
-        _ => return Err(Bad(404, "nothing here")),
+        _ => return Err(ClientError(404, "nothing here")),
     }
     let in_path = path.trim_start_matches('/').split('/').next().unwrap_or("");
     let in_path = percent_decode_str(in_path).decode_utf8_lossy();
-    let class = named(h, "x-class")?.unwrap_or(&in_path);
-    if !leads_to(target, class) {
-        return Err(Bad(400, "class in path and header differ"));
+    let class = name_header(headers, "x-class")?.unwrap_or(&in_path);
+    if !path_names_class(target, class) {
+        return Err(ClientError(400, "class in path and header differ"));
     }
-    let id = only(h, "x-request-id")?.filter(|i| !i.is_empty()).ok_or(Bad(400, "no X-Request-Id"))?;
-    let key = only(h, "idempotency-key")?.unwrap_or("");
-    let left = only(h, "x-deadline")?.and_then(client_seconds).ok_or(Bad(400, "bad X-Deadline"))?;
-    let envelope = only(h, "x-envelope")?.unwrap_or("");
-    let digits = |d: &&str| !d.is_empty() && d.bytes().all(|b| b.is_ascii_digit());
+    let id = printable_header(headers, "x-request-id")?
+        .filter(|i| !i.is_empty())
+        .ok_or(ClientError(400, "no X-Request-Id"))?;
+    let key = printable_header(headers, "idempotency-key")?.unwrap_or("");
+    let time_left = printable_header(headers, "x-deadline")?
+        .and_then(parse_client_seconds)
+        .ok_or(ClientError(400, "bad X-Deadline"))?;
+    let envelope = printable_header(headers, "x-envelope")?.unwrap_or("");
+    let digits = |text: &&str| !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
     let destination = envelope
         .split([',', ';', ' '])
-        .find_map(|f| f.trim().strip_prefix("dest="))
+        .find_map(|part| part.trim().strip_prefix("dest="))
         .filter(digits)
         .and_then(|d| d.parse().ok())
-        .ok_or(Bad(400, "no dest in X-Envelope"))?;
-    // A gateway needs an address, which HTTP clients may give beside the destination.
-    let to = envelope.split([',', ';', ' ']).find_map(|f| f.trim().strip_prefix("to="));
-    let note = to.map_or(String::new(), |to| Note { destination: to.into(), ..Note::default() }.write());
-    let margin = MARGIN.min(Micros(left.0 / 8));
-    Ok(Ask::HandIn(Box::new(AcceptedMessage {
+        .ok_or(ClientError(400, "no dest in X-Envelope"))?;
+    // A gateway needs an address, which HTTP clients may give in addition to the destination.
+    let to = envelope.split([',', ';', ' ']).find_map(|part| part.trim().strip_prefix("to="));
+    let note = to.map_or(String::new(), |to| {
+        MessageNote { destination: to.into(), ..MessageNote::default() }.encode()
+    });
+    let margin = DEADLINE_MARGIN.min(Micros(time_left.0 / 8));
+    Ok(Request::Submit(Box::new(AcceptedMessage {
         number: 0,
         frontend: FRONTEND_ID,
         request_id: id.to_owned(),
         class: class.to_owned(),
         recorded_class: None,
-        tenant: named(h, "x-tenant")?.unwrap_or("").to_owned(),
+        tenant: name_header(headers, "x-tenant")?.unwrap_or("").to_owned(),
         destination,
         idempotency_key: key.to_owned(),
         frontend_note: note,
         wants_receipt: false,
-        deadline: at.plus(left.since(margin)),
+        deadline: received_at.plus(time_left.since(margin)),
         body: bytes[body_at..].to_vec(),
     })))
 }
--- a/daemon/src/net/http/inbound/tests.rs
+++ b/daemon/src/net/http/inbound/tests.rs
@@ -1,99 +1,103 @@
-//! Connections of clients, with a module that the test plays.
+//! Connections of clients, with the test in the place of the core.
 
 use super::*;
 use std::io::{Read, Write};
 
-fn door() -> (Async<TcpListener>, std::net::SocketAddr) {
+fn listen_on_loopback() -> (Async<TcpListener>, std::net::SocketAddr) {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
-    let at = listener.get_ref().local_addr().unwrap();
-    (listener, at)
+    let address = listener.get_ref().local_addr().unwrap();
+    (listener, address)
 }
 
-fn ask(stream: &mut TcpStream) {
+fn send_request(stream: &mut TcpStream) {
     stream.write_all(b"GET /ready HTTP/1.1\r\n\r\n").unwrap();
 }
 
-async fn answer(stream: TcpStream) -> String {
+async fn read_answer(stream: TcpStream) -> String {
     let mut all = String::new();
-    let (told, tells) = bounded(1);
+    let (sender, receiver) = bounded(1);
     std::thread::spawn(move || {
         let mut stream = stream;
         let _ = stream.read_to_string(&mut all);
-        told.try_send(all)
+        sender.try_send(all)
     });
-    tells.recv().await.unwrap()
+    receiver.recv().await.unwrap()
 }
 
-/// The door shuts while they stand in the row, their requests written: each of them is answered.
+/// The listener closes while connections with written requests wait in the accept queue: each of them must
+/// be answered.
 #[test]
-fn who_stands_in_the_row_when_the_door_shuts_is_answered() {
+fn connections_in_the_accept_queue_are_answered_at_shutdown() {
     let shared = SharedState::for_test(bounded(1).0);
     shared.stopping.set(true);
-    let (listener, at) = door();
-    let mut clients: Vec<_> = (0..8).map(|_| TcpStream::connect(at).unwrap()).collect();
-    clients.iter_mut().for_each(ask);
-    let (_, shut) = bounded(1);
+    let (listener, address) = listen_on_loopback();
+    let mut clients: Vec<_> = (0..8).map(|_| TcpStream::connect(address).unwrap()).collect();
+    clients.iter_mut().for_each(send_request);
+    let (_, stop) = bounded(1);
     let all = async {
-        listen(shared.clone(), listener, shut).await;
+        listen(shared.clone(), listener, stop).await;
         for client in clients {
-            assert!(answer(client).await.starts_with("HTTP/1.1 503"));
+            assert!(read_answer(client).await.starts_with("HTTP/1.1 503"));
         }
     };
     async_io::block_on(shared.executor.run(all));
     assert_eq!(shared.counters.inbound_opened.get(), 8);
 }
 
-/// One that came just before is waited for; one that was answered is closed at once.
+/// A connection that was opened just before the shutdown still gets an answer to its first request.
 #[test]
-fn a_new_connection_is_answered_though_the_process_ends() {
+fn a_new_connection_is_answered_during_shutdown() {
     let shared = SharedState::for_test(bounded(1).0);
-    let (listener, at) = door();
-    let mut client = TcpStream::connect(at).unwrap();
-    let (_open, shut) = bounded(1);
-    shared.executor.spawn(listen(shared.clone(), listener, shut)).detach();
+    let (listener, address) = listen_on_loopback();
+    let mut client = TcpStream::connect(address).unwrap();
+    let (_keep_open, stop) = bounded(1);
+    shared.executor.spawn(listen(shared.clone(), listener, stop)).detach();
     let all = async {
-        // Its actor looks for a request, and the end has been told already.
+        // The connection's actor waits for a request when the shutdown has begun already.
         async_io::Timer::after(std::time::Duration::from_millis(100)).await;
         assert_eq!(shared.counters.inbound_open.get(), 1);
-        ask(&mut client);
-        assert!(answer(client).await.starts_with("HTTP/1.1 503"));
+        send_request(&mut client);
+        assert!(read_answer(client).await.starts_with("HTTP/1.1 503"));
     };
     async_io::block_on(shared.executor.run(all));
 }
 
-/// It has closed its sending half, or has gone: nothing tells which.
+/// A client that has closed its sending side may still read or may be gone: the answer must be correct in
+/// both cases.
 #[rstest::rstest]
-#[case::taken_back(true, "HTTP/1.1 503")]
-#[case::has_begun(false, "HTTP/1.1 202")]
-fn a_client_that_sends_no_more_gets_an_answer_that_is_true(#[case] back: bool, #[case] said: &str) {
-    let (module, messages) = bounded(4);
-    let shared = SharedState::for_test(module);
-    let (listener, at) = door();
-    let (_open, shut) = bounded(1);
-    shared.executor.spawn(listen(shared.clone(), listener, shut)).detach();
-    let mut client = TcpStream::connect(at).unwrap();
+#[case::withdrawn(true, "HTTP/1.1 503")]
+#[case::attempt_begun(false, "HTTP/1.1 202")]
+fn a_client_that_closed_its_sending_side_gets_a_correct_answer(
+    #[case] withdrawn: bool, #[case] expected: &str,
+) {
+    let (core, messages) = bounded(4);
+    let shared = SharedState::for_test(core);
+    let (listener, address) = listen_on_loopback();
+    let (_keep_open, stop) = bounded(1);
+    shared.executor.spawn(listen(shared.clone(), listener, stop)).detach();
+    let mut client = TcpStream::connect(address).unwrap();
     client
         .write_all(
             b"POST /a HTTP/1.1\r\nX-Request-Id: 1\r\nX-Deadline: 1\r\nX-Envelope: dest=1\r\nContent-Length: 0\r\n\r\n",
         )
         .unwrap();
     let all = async {
-        let Ok(CoreMessage::Submit(h)) = messages.recv().await else { panic!("no hand-in") };
+        let Ok(CoreMessage::Submit(submission)) = messages.recv().await else { panic!("no submission") };
         client.shutdown(std::net::Shutdown::Write).unwrap();
-        h.reply.try_send(SubmitReply::Accepted(7)).unwrap();
+        submission.reply.try_send(SubmitReply::Accepted(7)).unwrap();
         let Ok(CoreMessage::WithdrawIfUntried(7, reply)) = messages.recv().await else {
-            panic!("no question")
+            panic!("no request to withdraw")
         };
-        reply.try_send(back).unwrap();
-        let heard = answer(client).await;
-        assert!(heard.starts_with(said), "{heard}");
+        reply.try_send(withdrawn).unwrap();
+        let response = read_answer(client).await;
+        assert!(response.starts_with(expected), "{response}");
     };
     async_io::block_on(shared.executor.run(all));
-    assert_eq!(shared.counters.unheard.get(), u64::from(back));
+    assert_eq!(shared.counters.unheard.get(), u64::from(withdrawn));
     assert!(messages.try_recv().is_err());
 }
 
-/// The names of classes and tenants are any text; what goes on to an endpoint is printed.
+/// Names of classes and tenants may be any text; what is sent on to an endpoint must be printable.
 #[rstest::rstest]
 #[case("/status", "X-Class: status", Some("status"))]
 #[case("/status/7?x=1", "X-Class: status", Some("status"))]
@@ -110,16 +114,14 @@
 #[case("/booking", "X-Class: status", None)]
 #[case("/status", "X-Class: sta\u{7f}tus", None)]
 #[case("/status", "Idempotency-Key: é", None)]
-fn the_class_is_what_path_and_header_say(
-    #[case] path: &str, #[case] header: &str, #[case] class: Option<&str>,
-) {
+fn class_header_must_match_the_path(#[case] path: &str, #[case] header: &str, #[case] class: Option<&str>) {
     let request = format!(
         "POST {path} HTTP/1.1\r\n{header}\r\nX-Request-Id: 1\r\nX-Deadline: 1\r\nX-Envelope: dest=1\r\n\r\n"
     );
-    let got = match parse(request.as_bytes(), request.len(), Micros(0)) {
-        Ok(Ask::HandIn(taken)) => Some(taken.class),
+    let parsed_class = match parse(request.as_bytes(), request.len(), Micros(0)) {
+        Ok(Request::Submit(message)) => Some(message.class),
         Ok(other) => panic!("{other:?}"),
         Err(_) => None,
     };
-    assert_eq!(got.as_deref(), class);
+    assert_eq!(parsed_class.as_deref(), class);
 }
--- a/daemon/src/net/http/mod.rs
+++ b/daemon/src/net/http/mod.rs
@@ -1,66 +1,74 @@
-//! The platform's HTTP/1.1: thin, on the same decisions as every other front.
+//! The platform's HTTP/1.1. This layer only parses and writes; all frontends use the same decisions of the
+//! core.
 
 pub mod client;
 pub mod endpoint;
 pub mod inbound;
 pub mod reuse;
 
-/// Bodies of requests.
-pub const BODY_MOST: usize = 64 * 1024;
-/// First line and headers.
+/// Largest body of a request or a response, in bytes.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Largest head (first line and headers), in bytes.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-const HEADERS: usize = 64;
-/// A longer time is read as this one: some 30 years, which adds to any clock.
-const SECONDS_MOST: f64 = 1e9;
+/// Most headers of a message that are parsed.
+const MAX_HEADERS: usize = 64;
+/// A longer time is read as this one, some 30 years, so that a sum with the clock cannot overflow.
+const MAX_SECONDS: f64 = 1e9;
 
-/// What a message's headers say of its framing.
+/// Framing of a message, from its HTTP version and headers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Framing {
+    /// Content-Length, if there is one.
     pub length: Option<usize>,
+    /// There is a Transfer-Encoding, which is not supported.
     pub chunked: bool,
+    /// The connection closes after this message.
     pub close: bool,
 }
 
+/// Determines the framing; the error is the reason why the headers are invalid.
 pub fn framing(version: Option<u8>, headers: &[httparse::Header]) -> Result<Framing, &'static str> {
-    let mut f = Framing { length: None, chunked: false, close: version == Some(0) };
-    for h in headers {
-        let value = std::str::from_utf8(h.value).unwrap_or("").trim();
-        if h.name.eq_ignore_ascii_case("content-length") {
-            let digits = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
-            let n = value.parse().ok().filter(|_| digits).ok_or("bad Content-Length")?;
-            if f.length.is_some_and(|l| l != n) {
+    let mut framing = Framing { length: None, chunked: false, close: version == Some(0) };
+    for header in headers {
+        let value = std::str::from_utf8(header.value).unwrap_or("").trim();
+        if header.name.eq_ignore_ascii_case("content-length") {
+            let is_digits = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
+            let length = value.parse().ok().filter(|_| is_digits).ok_or("bad Content-Length")?;
+            if framing.length.is_some_and(|earlier| earlier != length) {
                 return Err("two lengths");
             }
-            f.length = Some(n);
-        } else if h.name.eq_ignore_ascii_case("transfer-encoding") {
-            f.chunked = true;
-        } else if h.name.eq_ignore_ascii_case("connection") {
-            let says = |what: &str| value.split(',').any(|t| t.trim().eq_ignore_ascii_case(what));
-            f.close = f.close && !says("keep-alive") || says("close");
+            framing.length = Some(length);
+        } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
+            framing.chunked = true;
+        } else if header.name.eq_ignore_ascii_case("connection") {
+            let has_token =
+                |token: &str| value.split(',').any(|item| item.trim().eq_ignore_ascii_case(token));
+            framing.close = framing.close && !has_token("keep-alive") || has_token("close");
         }
     }
-    Ok(f)
+    Ok(framing)
 }
 
-pub fn header<'a>(headers: &'a [httparse::Header], name: &str) -> Option<&'a str> {
-    let h = headers.iter().find(|h| h.name.eq_ignore_ascii_case(name))?;
-    std::str::from_utf8(h.value).ok().map(str::trim)
+/// Value of the first header with this name, if it is text.
+pub fn header_value<'a>(headers: &'a [httparse::Header], name: &str) -> Option<&'a str> {
+    let header = headers.iter().find(|header| header.name.eq_ignore_ascii_case(name))?;
+    std::str::from_utf8(header.value).ok().map(str::trim)
 }
 
-/// Digits on each side of the point that a client may write.
-const DIGITS_MOST: usize = 9;
+/// Most digits that a client may write before and after the decimal point.
+const MAX_DIGITS: usize = 9;
 
-/// The seconds that a client gives: a request whose time is longer than any is a wrong one, and not taken on.
-pub fn client_seconds(text: &str) -> Option<onyxrock::interface::Micros> {
-    seconds(text).filter(|_| text.split('.').all(|part| part.len() <= DIGITS_MOST))
+/// Parses a time in seconds that a client sends. A time with too many digits makes the request invalid.
+pub fn parse_client_seconds(text: &str) -> Option<onyxrock::interface::Micros> {
+    parse_seconds(text).filter(|_| text.split('.').all(|digits| digits.len() <= MAX_DIGITS))
 }
 
-/// Seconds with decimals: digits, perhaps a point, and nothing that a number may be written with elsewhere.
-pub fn seconds(text: &str) -> Option<onyxrock::interface::Micros> {
-    let (whole, part) = text.split_once('.').unwrap_or((text, "0"));
-    let digits = |t: &str| !t.is_empty() && t.bytes().all(|b| b.is_ascii_digit());
-    let s: f64 = text.parse().ok().filter(|_| digits(whole) && digits(part))?;
-    Some(onyxrock::interface::Micros::from_secs(s.min(SECONDS_MOST)))
+/// Parses seconds with decimals: digits and an optional decimal point, without a sign or an exponent.
+pub fn parse_seconds(text: &str) -> Option<onyxrock::interface::Micros> {
+    let (integer, fraction) = text.split_once('.').unwrap_or((text, "0"));
+    let is_digits = |t: &str| !t.is_empty() && t.bytes().all(|b| b.is_ascii_digit());
+    let seconds: f64 = text.parse().ok().filter(|_| is_digits(integer) && is_digits(fraction))?;
+    Some(onyxrock::interface::Micros::from_secs(seconds.min(MAX_SECONDS)))
 }
 
 #[cfg(test)]
@@ -84,10 +92,10 @@
     #[case("inf", None)]
     #[case("NaN", None)]
     #[case("Wed, 21 Oct 2026 07:28:00 GMT", None)]
-    fn times_are_digits_of_any_length(#[case] text: &str, #[case] micros: Option<u64>) {
-        assert_eq!(seconds(text), micros.map(Micros));
-        let short = !text.split('.').any(|part| part.len() > 9);
-        assert_eq!(client_seconds(text), seconds(text).filter(|_| short));
-        assert_eq!(seconds(&"9".repeat(400)), Some(Micros(1_000_000_000_000_000)), "no overflow");
+    fn times_are_digits_of_any_length_and_nothing_else(#[case] text: &str, #[case] micros: Option<u64>) {
+        assert_eq!(parse_seconds(text), micros.map(Micros));
+        let short = !text.split('.').any(|digits| digits.len() > 9);
+        assert_eq!(parse_client_seconds(text), parse_seconds(text).filter(|_| short));
+        assert_eq!(parse_seconds(&"9".repeat(400)), Some(Micros(1_000_000_000_000_000)), "no overflow");
     }
 }
--- a/daemon/src/net/mod.rs
+++ b/daemon/src/net/mod.rs
@@ -1,4 +1,5 @@
-//! The wires. A front hands requests to the module; an endpoint makes outbound calls for it.
+//! Network I/O: frontends accept requests from clients and submit them to the core; endpoint actors make
+//! the outbound calls.
 
 pub mod buffer;
 pub mod eviction;
@@ -19,62 +20,72 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// What all actors of one forwarder share: nothing that decides.
+/// State that all actors of one forwarder share. It makes no delivery decisions.
 pub struct SharedState {
     pub clock: Clock,
     pub counters: Counters,
-    /// The rules, checked at run time.
+    /// The delivery rules, checked at run time.
     pub invariants: Invariants,
+    /// Mailbox of the core's actor.
     pub core: Sender<CoreMessage>,
-    /// Closed when the process begins to end: whoever waits on it wakes.
+    /// Closed during shutdown when connections are no longer accepted, which wakes every actor that waits on
+    /// this channel.
     pub shutdown_started: Receiver<()>,
-    /// Closed when all calls have ended, just before the process does.
+    /// Closed when all calls have ended, just before the process exits.
     pub calls_finished: Receiver<()>,
+    /// The number that `next_serial` returned last.
     pub last_serial: Cell<u64>,
-    /// What kept connections to endpoints are worth.
-    pub reuse_stats: std::cell::RefCell<http::reuse::Reuse>,
-    /// The inbound connections that may be closed to make room.
-    pub eviction_queue: eviction::Crowd,
+    /// How often calls over reused connections to endpoints broke.
+    pub reuse_stats: std::cell::RefCell<http::reuse::ReuseStats>,
+    /// Inbound connections that may be closed to make room for new ones.
+    pub eviction_queue: eviction::EvictionQueue,
+    /// True from the signal to shut down on.
     pub stopping: Cell<bool>,
-    /// What another process of this forwarder knows has not been taken over yet.
+    /// True until the state of another process of this forwarder has been taken over.
     pub taking_over: Cell<bool>,
-    /// The list that is held.
+    /// State of the endpoint list in use.
     pub list_state: std::cell::RefCell<ListState>,
-    /// When discovery last answered, or the process began.
+    /// When discovery last answered, or when the process started.
     pub list_answered_at: Cell<Micros>,
-    /// Where the list comes from and ends are told; the file that names it may be replaced.
+    /// Address of discovery, which serves the endpoint list and receives the final statuses. A reload of
+    /// the configuration file may change it.
     pub discovery: Cell<SocketAddr>,
+    /// Time limit for a connect to an endpoint, a gateway or discovery.
     pub connect_timeout: Micros,
-    /// When an idle connection is let go; none where the platform names no limit.
+    /// Idle time after which a connection to an endpoint is closed; `None` where the platform sets no
+    /// limit.
     pub idle_timeout: Option<Micros>,
-    /// The other instances, where duties are shared.
+    /// Mailbox of the membership actor; `None` where duties are not shared with other instances.
     pub peers: Option<Sender<ToPeers>>,
+    /// Most open connections of clients.
     pub max_inbound: u64,
+    /// Open connections to endpoints above which none is kept after its call.
     pub max_outbound: u64,
     pub executor: Rc<LocalExecutor<'static>>,
 }
 
-/// What is known of the list.
+/// Whether there is an endpoint list, and whether it is up to date.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub enum ListState {
-    /// None has ever been had: nothing can be delivered.
+    /// No list has been received yet: nothing can be delivered.
     #[default]
     Missing,
+    /// The last response of discovery is in use.
     Current,
-    /// The last question for it failed, or its answer was not taken.
+    /// The last request for the list failed, or its response was refused; the text is the reason.
     Outdated(String),
 }
 
 impl SharedState {
-    /// What an actor shares that a test plays the module for.
+    /// Shared state of an actor under test, where the test takes the part of the core.
     #[cfg(test)]
-    pub fn for_test(module: Sender<CoreMessage>) -> Rc<SharedState> {
+    pub fn for_test(core: Sender<CoreMessage>) -> Rc<SharedState> {
         let (_, closed) = bounded(1);
         Rc::new(SharedState {
             clock: Clock::default(),
             counters: Counters::default(),
             invariants: Invariants::default(),
-            core: module,
+            core,
             shutdown_started: closed.clone(),
             calls_finished: closed,
             last_serial: Cell::new(0),
@@ -93,30 +104,32 @@
             executor: Rc::new(LocalExecutor::new()),
         })
     }
-    /// Asks the module whether a call may leave for this address, or go on where some of it has been written.
-    pub async fn request_permit(&self, call: &OutboundCall, at: SocketAddr, begun: bool) -> PermitResult {
-        let (reply, allowed) = bounded(1);
-        let asks = PermitRequest {
+    /// Asks the core for a permit to write a call to `address`, or to continue a call that is partly
+    /// written.
+    pub async fn request_permit(
+        &self, call: &OutboundCall, address: SocketAddr, partly_written: bool,
+    ) -> PermitResult {
+        let (reply, result) = bounded(1);
+        let request = PermitRequest {
             number: call.number,
             attempt: call.attempt,
             receiver: call.receiver,
-            partly_written: begun,
+            partly_written,
         };
-        let asked =
-            self.core.send(CoreMessage::RequestPermit { request: asks, address: at, reply }).await.is_ok();
-        allowed.recv().await.ok().filter(|_| asked).unwrap_or(Err(Verdict::Moot))
+        let sent = self.core.send(CoreMessage::RequestPermit { request, address, reply }).await.is_ok();
+        result.recv().await.ok().filter(|_| sent).unwrap_or(Err(Verdict::Moot))
     }
 
-    /// The first byte of a call leaves right behind this.
-    pub fn sends(&self, call: &OutboundCall, permit: &Permit) {
+    /// Counts and checks a call whose first byte is about to be written.
+    pub fn record_send(&self, call: &OutboundCall, permit: &Permit) {
         self.counters.outbound_calls.increment();
         self.invariants.check_send(self.clock.now(), call, permit);
     }
 
-    /// All counters, with those that tell of this moment brought up to date.
+    /// All counters, after an update of those that depend on the current time.
     pub fn counters_json(&self) -> serde_json::Value {
-        let age = self.clock.now().since(self.list_answered_at.get());
-        self.counters.list_age_ms.set(age.0 as usize / 1000);
+        let list_age = self.clock.now().since(self.list_answered_at.get());
+        self.counters.list_age_ms.set(list_age.0 as usize / 1000);
         let mut all = self.counters.to_json();
         for (name, count) in self.invariants.counts() {
             all[name] = count.into();
@@ -124,16 +137,17 @@
         all
     }
 
-    /// A number that no other caller in this process gets.
-    pub fn serial(&self) -> u64 {
+    /// Returns a number that is unique within this process.
+    pub fn next_serial(&self) -> u64 {
         self.last_serial.set(self.last_serial.get() + 1);
         self.last_serial.get()
     }
 }
 
-/// One attempt, on its way to an endpoint.
+/// One attempt, as it is passed to an endpoint's actor.
 #[derive(Clone, Debug)]
 pub struct OutboundCall {
+    /// The message's number in the ledger, or that of a probe.
     pub number: u64,
     pub attempt: u32,
     pub receiver: ReceiverId,
@@ -141,31 +155,32 @@
     pub endpoint: String,
     pub id: String,
     pub idempotency_key: String,
-    /// What its front noted of it.
+    /// Data that the message's frontend recorded for its own use.
     pub frontend_note: String,
     pub body: Vec<u8>,
     pub started: Micros,
     pub timeout: Micros,
-    /// If it may have run, it is lost.
+    /// The message must not be attempted again once this call may have run.
     pub unsafe_to_repeat: bool,
-    /// It is a probe, which asks for this path and carries nothing.
+    /// Set if this call is a probe: a GET request for this path, without a body.
     pub probe_path: Option<Rc<str>>,
-    /// Closed when nobody wants its answer any more.
+    /// Closed when the response is no longer wanted.
     pub cancellation: Option<Receiver<()>>,
 }
 
 impl OutboundCall {
-    /// Comes to its end when nobody wants the answer any more.
-    pub async fn called_off(&self) {
+    /// Completes when the response is no longer wanted.
+    pub async fn cancelled(&self) {
         match &self.cancellation {
-            Some(wanted) => drop(wanted.recv().await),
+            Some(cancellation) => drop(cancellation.recv().await),
             None => std::future::pending().await,
         }
     }
-    pub fn until(&self) -> Micros {
+    /// When the call times out.
+    pub fn deadline(&self) -> Micros {
         self.started.plus(self.timeout)
     }
-    /// Its end, at `now`.
+    /// The outcome of this call with `verdict` at `now`.
     pub fn outcome(&self, now: Micros, verdict: Verdict) -> AttemptOutcome {
         AttemptOutcome {
             number: self.number,
@@ -180,11 +195,13 @@
     }
 }
 
-/// The mailbox of an endpoint.
+/// A message to the actor of an endpoint.
 #[derive(Debug)]
 pub enum ToEndpoint {
-    /// Boxed: a mailbox holds room for many.
+    /// Boxed because each mailbox reserves space for many messages.
     Call(Box<OutboundCall>),
+    /// Closes all idle connections, and those that calls return before the next call.
     CloseIdle,
+    /// The endpoint is reached at another address from now on.
     AddressChanged(Box<SocketAddr>),
 }
