--- a/daemon/src/net/smpp/gateway.rs
+++ b/daemon/src/net/smpp/gateway.rs
@@ -1,6 +1,8 @@
-//! One gateway: a session that is bound when it is needed, and the outbound calls over it.
+//! The actor of one gateway: a session that is bound on demand, and the outbound calls over it.
 
-use super::{Note, PDU_MOST, PROMPT, Read, command, field, next, write};
+use super::{
+    IO_TIMEOUT, MAX_PDU_BYTES, MessageNote, ReadResult, c_octet_string, encode_pdu, read_pdu, write_pdu,
+};
 use crate::core_actor::CoreMessage;
 use crate::net::buffer::Buffer;
 use crate::net::{OutboundCall, SharedState, ToEndpoint};
@@ -18,12 +20,12 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// The longest short_message; more goes as message_payload.
-const SHORT: usize = 254;
+/// Longest short_message; a longer body is sent as message_payload.
+const MAX_SHORT_MESSAGE_BYTES: usize = 254;
 
-/// Starts the actor of a gateway.
-pub fn start(shared: &Rc<SharedState>, gateway: Gateway, room: usize) -> Sender<ToEndpoint> {
-    let (mailbox, inbox) = bounded(room);
+/// Starts the actor of a gateway; `capacity` is the length of its mailbox.
+pub fn start(shared: &Rc<SharedState>, gateway: Gateway, capacity: usize) -> Sender<ToEndpoint> {
+    let (mailbox, inbox) = bounded(capacity);
     let (shared, executor) = (shared.clone(), shared.executor.clone());
     executor.spawn(run(shared, gateway, inbox)).detach();
     mailbox
@@ -32,32 +34,33 @@
 async fn run(shared: Rc<SharedState>, gateway: Gateway, inbox: Receiver<ToEndpoint>) {
     while let Ok(message) = inbox.recv().await {
         let ToEndpoint::Call(call) = message else { continue };
-        let by = call.until().min(shared.clock.now().plus(shared.connect_timeout));
+        let deadline = call.deadline().min(shared.clock.now().plus(shared.connect_timeout));
         shared.counters.outbound_open.increment();
         shared.counters.outbound_opened.increment();
-        match shared.clock.timeout_at(by, bind(&shared, &gateway)).await {
+        match shared.clock.timeout_at(deadline, bind(&shared, &gateway)).await {
             Some(Some(link)) => {
-                let to = call.receiver;
+                let receiver = call.receiver;
                 let waiting = VecDeque::from([*call]);
                 let session = Session {
                     shared: &shared,
                     gateway: &gateway,
                     link,
                     waiting,
-                    out: BTreeMap::new(),
-                    heard: shared.clock.now(),
-                    asked: false,
+                    in_flight: BTreeMap::new(),
+                    last_received: shared.clock.now(),
+                    enquiry_pending: false,
                     closing: false,
-                    to,
+                    receiver,
                 };
                 session.run(&inbox).await;
             }
             _ => {
-                // What came meanwhile would only wait for the next bind to fail, past its time.
-                end(&shared, &call, Verdict::ConnectFailed).await;
+                // Calls that arrived in the meantime would only wait for the next bind to fail, beyond
+                // their deadlines.
+                report_outcome(&shared, &call, Verdict::ConnectFailed).await;
                 while let Ok(message) = inbox.try_recv() {
                     if let ToEndpoint::Call(call) = message {
-                        end(&shared, &call, Verdict::ConnectFailed).await;
+                        report_outcome(&shared, &call, Verdict::ConnectFailed).await;
                     }
                 }
             }
@@ -66,11 +69,13 @@
     }
 }
 
-async fn end(shared: &SharedState, call: &OutboundCall, verdict: Verdict) {
-    let answered = call.outcome(shared.clock.now(), verdict);
-    let _ = shared.core.send(CoreMessage::AttemptEnded(answered)).await;
+/// Reports the outcome of a call to the core.
+async fn report_outcome(shared: &SharedState, call: &OutboundCall, verdict: Verdict) {
+    let outcome = call.outcome(shared.clock.now(), verdict);
+    let _ = shared.core.send(CoreMessage::AttemptEnded(outcome)).await;
 }
 
+/// A connection to the gateway.
 struct Link {
     stream: Async<TcpStream>,
     buffer: Buffer,
@@ -84,251 +89,283 @@
     }
 }
 
-/// A bound session. None if there is no connection, or the gateway says no.
+/// Opens and binds a session. `None` if there is no connection or the gateway refuses the bind.
 async fn bind(shared: &SharedState, gateway: &Gateway) -> Option<Link> {
     let stream = Async::<TcpStream>::connect(gateway.address).await.ok()?;
     let _ = stream.get_ref().set_nodelay(true);
-    let mut link = Link { stream, buffer: Buffer::new(PDU_MOST), sequence: 0 };
+    let mut link = Link { stream, buffer: Buffer::new(MAX_PDU_BYTES), sequence: 0 };
     let bind = BindTransceiver {
-        system_id: field(&gateway.system_id),
+        system_id: c_octet_string(&gateway.system_id),
         interface_version: InterfaceVersion::Smpp3_4,
         ..BindTransceiver::default()
     };
     let sequence = link.next_sequence();
-    write(&mut link.stream, &command(CommandStatus::EsmeRok, sequence, bind)).await.ok()?;
-    match next(&mut link.buffer, &mut link.stream).await? {
-        Read::Pdu(c) if c.id() == CommandId::BindTransceiverResp => {
-            if c.status() != CommandStatus::EsmeRok {
-                tracing::warn!(peer = %gateway.name, "gateway: bind refused, {:?}", c.status());
+    write_pdu(&mut link.stream, &encode_pdu(CommandStatus::EsmeRok, sequence, bind)).await.ok()?;
+    match read_pdu(&mut link.buffer, &mut link.stream).await? {
+        ReadResult::Pdu(pdu) if pdu.id() == CommandId::BindTransceiverResp => {
+            if pdu.status() != CommandStatus::EsmeRok {
+                tracing::warn!(
+                    peer = %gateway.name,
+                    "gateway: bind refused with status {:?}; waiting calls fail",
+                    pdu.status()
+                );
                 return None;
             }
             Some(link)
         }
-        Read::Pdu(_) => None,
-        Read::Unreadable(_) | Read::Lost => {
+        ReadResult::Pdu(_) => None,
+        ReadResult::Undecodable(_) | ReadResult::FramingLost => {
             shared.counters.smpp_bad_pdus.increment();
             None
         }
     }
 }
 
+/// What a session waits for.
 enum Event {
     Message(Option<ToEndpoint>),
-    Pdu(Option<Read>),
-    Time,
+    Pdu(Option<ReadResult>),
+    Timer,
     Closing,
 }
 
+/// A bound session with the gateway.
 struct Session<'a> {
     shared: &'a SharedState,
     gateway: &'a Gateway,
     link: Link,
-    /// Calls that wait for room in the window.
+    /// Calls that wait for space in the window.
     waiting: VecDeque<OutboundCall>,
-    /// Submissions without their response, by sequence number.
-    out: BTreeMap<u32, OutboundCall>,
-    heard: Micros,
-    asked: bool,
+    /// Submissions without a response, by sequence number.
+    in_flight: BTreeMap<u32, OutboundCall>,
+    /// When the last PDU arrived.
+    last_received: Micros,
+    /// An enquire_link has been sent and not answered.
+    enquiry_pending: bool,
+    /// The session ends once no call is left.
     closing: bool,
-    /// The number that the module has for this gateway.
-    to: ReceiverId,
+    /// The core's id of this gateway.
+    receiver: ReceiverId,
 }
 
 impl Session<'_> {
     async fn run(mut self, inbox: &Receiver<ToEndpoint>) {
         let clock = self.shared.clock;
-        let mut sound = true;
-        while sound {
-            sound = self.submit_waiting().await;
-            if !sound || self.closing && self.out.is_empty() && self.waiting.is_empty() {
+        let mut session_ok = true;
+        while session_ok {
+            session_ok = self.submit_waiting().await;
+            if !session_ok || self.closing && self.in_flight.is_empty() && self.waiting.is_empty() {
                 break;
             }
-            let silence = self.heard.plus(self.gateway.enquire_link_interval);
-            let silence = if self.asked { silence.plus(PROMPT) } else { silence };
-            let first = self.out.values().chain(&self.waiting).map(OutboundCall::until).min();
-            let due = first.map_or(silence, |f| f.min(silence));
+            let silence_deadline = self.last_received.plus(self.gateway.enquire_link_interval);
+            let silence_deadline =
+                if self.enquiry_pending { silence_deadline.plus(IO_TIMEOUT) } else { silence_deadline };
+            let first_deadline =
+                self.in_flight.values().chain(&self.waiting).map(OutboundCall::deadline).min();
+            let wake_at = first_deadline.map_or(silence_deadline, |deadline| deadline.min(silence_deadline));
             let event = {
                 let message = async { Event::Message(inbox.recv().await.ok()) };
-                let pdu = async { Event::Pdu(next(&mut self.link.buffer, &mut self.link.stream).await) };
+                let input =
+                    async { Event::Pdu(read_pdu(&mut self.link.buffer, &mut self.link.stream).await) };
                 let time = async {
-                    clock.sleep_until(Some(due)).await;
-                    Event::Time
+                    clock.sleep_until(Some(wake_at)).await;
+                    Event::Timer
                 };
                 let closing = async {
                     let _ = self.shared.calls_finished.recv().await;
                     Event::Closing
                 };
-                future::or(future::or(pdu, message), future::or(time, closing)).await
+                future::or(future::or(input, message), future::or(time, closing)).await
             };
-            sound = match event {
+            session_ok = match event {
                 Event::Message(Some(ToEndpoint::Call(call))) => {
                     self.waiting.push_back(*call);
                     true
                 }
                 Event::Message(Some(ToEndpoint::CloseIdle)) => {
-                    self.closing = self.out.is_empty() && self.waiting.is_empty();
+                    self.closing = self.in_flight.is_empty() && self.waiting.is_empty();
                     true
                 }
                 Event::Message(Some(ToEndpoint::AddressChanged(_))) => true,
                 Event::Message(None) | Event::Pdu(None) => false,
-                Event::Pdu(Some(Read::Pdu(c))) => {
-                    self.heard = clock.now();
-                    self.take(*c).await
+                Event::Pdu(Some(ReadResult::Pdu(pdu))) => {
+                    self.last_received = clock.now();
+                    self.handle_pdu(*pdu).await
                 }
-                Event::Pdu(Some(Read::Unreadable(sequence))) => {
+                Event::Pdu(Some(ReadResult::Undecodable(sequence))) => {
                     self.shared.counters.smpp_bad_pdus.increment();
-                    self.say(CommandStatus::EsmeRinvcmdid, sequence, Pdu::GenericNack).await
+                    self.send_pdu(CommandStatus::EsmeRinvcmdid, sequence, Pdu::GenericNack).await
                 }
-                Event::Pdu(Some(Read::Lost)) => {
+                Event::Pdu(Some(ReadResult::FramingLost)) => {
                     self.shared.counters.smpp_bad_pdus.increment();
-                    self.say(CommandStatus::EsmeRinvcmdlen, 0, Pdu::GenericNack).await;
+                    self.send_pdu(CommandStatus::EsmeRinvcmdlen, 0, Pdu::GenericNack).await;
                     false
                 }
                 Event::Closing => break,
-                Event::Time => self.on_time(clock.now(), silence).await,
+                Event::Timer => self.on_time(clock.now(), silence_deadline).await,
             };
         }
-        if sound {
+        if session_ok {
             let sequence = self.link.next_sequence();
-            self.say(CommandStatus::EsmeRok, sequence, Pdu::Unbind).await;
+            self.send_pdu(CommandStatus::EsmeRok, sequence, Pdu::Unbind).await;
         }
-        // What was submitted and not answered may have been taken; what still waits was never written.
-        for call in self.out.into_values() {
-            end(self.shared, &call, Verdict::Reset).await;
+        // Submissions without a response may have been accepted; waiting calls were never written.
+        for call in self.in_flight.into_values() {
+            report_outcome(self.shared, &call, Verdict::Reset).await;
         }
         for call in self.waiting {
-            end(self.shared, &call, Verdict::ConnectFailed).await;
+            report_outcome(self.shared, &call, Verdict::ConnectFailed).await;
         }
     }
 
-    async fn say(&mut self, status: CommandStatus, sequence: u32, pdu: impl Into<Pdu>) -> bool {
-        let bytes = command(status, sequence, pdu);
-        let by = self.shared.clock.now().plus(PROMPT);
-        matches!(self.shared.clock.timeout_at(by, write(&mut self.link.stream, &bytes)).await, Some(Ok(())))
+    /// Writes a PDU. Returns false if the gateway does not read it in time.
+    async fn send_pdu(&mut self, status: CommandStatus, sequence: u32, pdu: impl Into<Pdu>) -> bool {
+        let bytes = encode_pdu(status, sequence, pdu);
+        let deadline = self.shared.clock.now().plus(IO_TIMEOUT);
+        matches!(
+            self.shared.clock.timeout_at(deadline, write_pdu(&mut self.link.stream, &bytes)).await,
+            Some(Ok(()))
+        )
     }
 
-    /// Calls whose time is up, and a gateway that may have gone.
-    async fn on_time(&mut self, now: Micros, silence: Micros) -> bool {
-        let late: Vec<u32> = self.out.iter().filter(|(_, c)| c.until() <= now).map(|(s, _)| *s).collect();
-        for sequence in late {
-            if let Some(call) = self.out.remove(&sequence) {
-                end(self.shared, &call, Verdict::TimedOut).await;
+    /// Ends calls whose deadline has passed and checks whether the gateway still answers.
+    async fn on_time(&mut self, now: Micros, silence_deadline: Micros) -> bool {
+        let expired: Vec<u32> = self
+            .in_flight
+            .iter()
+            .filter(|(_, call)| call.deadline() <= now)
+            .map(|(sequence, _)| *sequence)
+            .collect();
+        for sequence in expired {
+            if let Some(call) = self.in_flight.remove(&sequence) {
+                report_outcome(self.shared, &call, Verdict::TimedOut).await;
             }
         }
         let waiting = std::mem::take(&mut self.waiting).into_iter();
-        let (late, waiting): (VecDeque<_>, VecDeque<_>) = waiting.partition(|c| c.until() <= now);
+        let (expired, waiting): (VecDeque<_>, VecDeque<_>) = waiting.partition(|call| call.deadline() <= now);
         self.waiting = waiting;
-        for call in late {
-            end(self.shared, &call, Verdict::Moot).await;
+        for call in expired {
+            report_outcome(self.shared, &call, Verdict::Moot).await;
         }
-        if now < silence {
+        if now < silence_deadline {
             return true;
         }
-        if self.asked {
-            return false; // no answer to enquire_link: it is gone
+        if self.enquiry_pending {
+            return false; // no response to enquire_link: the gateway is gone
         }
-        self.asked = true;
+        self.enquiry_pending = true;
         let sequence = self.link.next_sequence();
-        self.say(CommandStatus::EsmeRok, sequence, Pdu::EnquireLink).await
+        self.send_pdu(CommandStatus::EsmeRok, sequence, Pdu::EnquireLink).await
     }
 
-    /// Submits what the window has room for. False if the session broke over it.
+    /// Submits as many waiting calls as the window allows. Returns false if the session broke.
     async fn submit_waiting(&mut self) -> bool {
-        while self.out.len() < self.gateway.window
+        while self.in_flight.len() < self.gateway.window
             && let Some(call) = self.waiting.pop_front()
         {
-            if call.until() <= self.shared.clock.now() {
-                end(self.shared, &call, Verdict::Moot).await;
+            if call.deadline() <= self.shared.clock.now() {
+                report_outcome(self.shared, &call, Verdict::Moot).await;
                 continue;
             }
             let permit = match self.shared.request_permit(&call, self.gateway.address, false).await {
                 Ok(permit) => permit,
                 Err(verdict) => {
-                    end(self.shared, &call, verdict).await;
+                    report_outcome(self.shared, &call, verdict).await;
                     continue;
                 }
             };
-            self.shared.sends(&call, &permit);
+            self.shared.record_send(&call, &permit);
             let sequence = self.link.next_sequence();
-            let bytes = command(CommandStatus::EsmeRok, sequence, submission(&call));
-            let write = write(&mut self.link.stream, &bytes);
-            if !matches!(self.shared.clock.timeout_at(call.until(), write).await, Some(Ok(()))) {
-                // Its last byte was not written; half a PDU makes the session useless for the others.
-                end(self.shared, &call, Verdict::ConnectFailed).await;
+            let bytes = encode_pdu(CommandStatus::EsmeRok, sequence, submission(&call));
+            let write = write_pdu(&mut self.link.stream, &bytes);
+            if !matches!(self.shared.clock.timeout_at(call.deadline(), write).await, Some(Ok(()))) {
+                // The last byte was not written, so the call has not run; an incomplete PDU makes the
+                // session useless for other calls.
+                report_outcome(self.shared, &call, Verdict::ConnectFailed).await;
                 return false;
             }
-            self.out.insert(sequence, call);
+            self.in_flight.insert(sequence, call);
         }
         true
     }
 
-    async fn take(&mut self, c: Command) -> bool {
-        let sequence = c.sequence_number();
-        match (c.id(), c.pdu()) {
-            (CommandId::SubmitSmResp | CommandId::GenericNack, pdu) => {
-                // An answer that comes after its call was given up counts for nothing but the wait that it tells.
-                let verdict = self.verdict(c.id(), c.status(), pdu);
-                if let Some(call) = self.out.remove(&sequence) {
-                    end(self.shared, &call, verdict).await;
-                } else if let Verdict::Full(Some(wait)) = verdict {
-                    let until = self.shared.clock.now().plus(wait);
-                    let _ = self.shared.core.send(CoreMessage::RetryAfter { receiver: self.to, until }).await;
+    /// Handles a PDU of the gateway. Returns false if the session has ended.
+    async fn handle_pdu(&mut self, pdu: Command) -> bool {
+        let sequence = pdu.sequence_number();
+        match (pdu.id(), pdu.pdu()) {
+            (CommandId::SubmitSmResp | CommandId::GenericNack, body) => {
+                // Of a response that arrives after its call was given up, only the retry-after counts.
+                let verdict = self.verdict(pdu.id(), pdu.status(), body);
+                if let Some(call) = self.in_flight.remove(&sequence) {
+                    report_outcome(self.shared, &call, verdict).await;
+                } else if let Verdict::Full(Some(retry_after)) = verdict {
+                    let until = self.shared.clock.now().plus(retry_after);
+                    let _ = self
+                        .shared
+                        .core
+                        .send(CoreMessage::RetryAfter { receiver: self.receiver, until })
+                        .await;
                 }
                 true
             }
             (CommandId::EnquireLink, _) => {
-                self.say(CommandStatus::EsmeRok, sequence, Pdu::EnquireLinkResp).await
+                self.send_pdu(CommandStatus::EsmeRok, sequence, Pdu::EnquireLinkResp).await
             }
             (CommandId::EnquireLinkResp, _) => {
-                self.asked = false;
+                self.enquiry_pending = false;
                 true
             }
-            // Its own receipts say what becomes of a message that it has taken on; that is not ours to tell.
+            // The gateway's own receipts report the fate of messages that it has accepted; the forwarder
+            // does not pass them on.
             (CommandId::DeliverSm, _) => {
-                self.say(CommandStatus::EsmeRok, sequence, DeliverSmResp::default()).await
+                self.send_pdu(CommandStatus::EsmeRok, sequence, DeliverSmResp::default()).await
             }
             (CommandId::Unbind, _) => {
-                self.say(CommandStatus::EsmeRok, sequence, Pdu::UnbindResp).await;
+                self.send_pdu(CommandStatus::EsmeRok, sequence, Pdu::UnbindResp).await;
                 false
             }
             _ => {
                 self.shared.counters.smpp_bad_pdus.increment();
-                self.say(CommandStatus::EsmeRinvcmdid, sequence, Pdu::GenericNack).await
+                self.send_pdu(CommandStatus::EsmeRinvcmdid, sequence, Pdu::GenericNack).await
             }
         }
     }
 
+    /// Maps a status to a verdict.
     fn verdict(&self, id: CommandId, status: CommandStatus, pdu: Option<&Pdu>) -> Verdict {
         match status {
             CommandStatus::EsmeRok if id == CommandId::SubmitSmResp => Verdict::Delivered,
-            CommandStatus::EsmeRthrottled | CommandStatus::EsmeRmsgqful => Verdict::Full(self.wait(pdu)),
+            CommandStatus::EsmeRthrottled | CommandStatus::EsmeRmsgqful => {
+                Verdict::Full(self.retry_after(pdu))
+            }
             _ => Verdict::Error,
         }
     }
 
-    /// The wait that a refusal names, in the parameter that the file names.
-    fn wait(&self, pdu: Option<&Pdu>) -> Option<Micros> {
+    /// The retry-after of a refusal, from the TLV that the configuration names.
+    fn retry_after(&self, pdu: Option<&Pdu>) -> Option<Micros> {
         let (tag, unit) = self.gateway.retry_after_tlv?;
         let Some(Pdu::SubmitSmResp(resp)) = pdu else { return None };
-        let value = resp.tlvs().iter().find(|t| t.tag() == TlvTag::from(tag))?.value()?;
+        let value = resp.tlvs().iter().find(|tlv| tlv.tag() == TlvTag::from(tag))?.value()?;
         let TlvValue::Other { value, .. } = value else { return None };
-        let n = value.as_ref().iter().take(4).fold(0u64, |n, b| n << 8 | u64::from(*b));
-        (n > 0).then(|| Micros(n * unit.0))
+        let wait_units = value.as_ref().iter().take(4).fold(0u64, |sum, byte| sum << 8 | u64::from(*byte));
+        (wait_units > 0).then(|| Micros(wait_units * unit.0))
     }
 }
 
+/// The submit_sm PDU of a call.
 fn submission(call: &OutboundCall) -> SubmitSm {
-    let note = Note::read(&call.frontend_note);
-    let mut sm = SubmitSm::default();
-    sm.source_addr = field(&note.source);
-    sm.destination_addr = field(&note.destination);
-    sm.esm_class = EsmClass::from(note.esm);
-    sm.data_coding = DataCoding::from(note.coding);
-    if call.body.len() <= SHORT {
-        sm.set_short_message(OctetString::from_slice(&call.body).unwrap_or_default());
+    let note = MessageNote::decode(&call.frontend_note);
+    let mut submit_sm = SubmitSm::default();
+    submit_sm.source_addr = c_octet_string(&note.source);
+    submit_sm.destination_addr = c_octet_string(&note.destination);
+    submit_sm.esm_class = EsmClass::from(note.esm_class);
+    submit_sm.data_coding = DataCoding::from(note.data_coding);
+    if call.body.len() <= MAX_SHORT_MESSAGE_BYTES {
+        submit_sm.set_short_message(OctetString::from_slice(&call.body).unwrap_or_default());
     } else {
         let payload = rusmpp::types::AnyOctetString::from_slice(&call.body);
-        sm.push_tlv(Tlv::MessagePayload(MessagePayload::new(payload)));
+        submit_sm.push_tlv(Tlv::MessagePayload(MessagePayload::new(payload)));
     }
-    sm
+    submit_sm
 }
--- a/daemon/src/net/smpp/inbound.rs
+++ b/daemon/src/net/smpp/inbound.rs
@@ -1,7 +1,10 @@
-//! The clients' side of SMPP: one actor a session.
+//! SMPP sessions of clients, each served by an actor of its own.
 
 use super::receipts::{ToReceipts, receipt};
-use super::{FRONTEND_ID, Note, PDU_MOST, PROMPT, Read, command, field, next, text, time, write};
+use super::{
+    FRONTEND_ID, IO_TIMEOUT, MAX_PDU_BYTES, MessageNote, ReadResult, c_octet_string, c_octet_text,
+    encode_pdu, read_pdu, time, write_pdu,
+};
 use crate::core_actor::{CoreMessage, StatusNotice, Submission, SubmitReply};
 use crate::net::SharedState;
 use crate::net::buffer::Buffer;
@@ -19,22 +22,23 @@
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// The receipt needs its way before the message's time is up.
-const MARGIN: Micros = Micros(150_000);
-/// A connection that does not bind is closed.
-const BIND_WITHIN: Micros = Micros(10_000_000);
+/// Subtracted from a message's validity: the receipt has to arrive before the message expires.
+const VALIDITY_MARGIN: Micros = Micros(150_000);
+/// A connection that has not bound by then is closed.
+const BIND_TIMEOUT: Micros = Micros(10_000_000);
 
-/// What all sessions need.
+/// State that all sessions share.
 pub struct Frontend {
     pub shared: Rc<SharedState>,
     pub smpp: SmppSettings,
-    /// How long a message of each class may take.
+    /// Longest lifetime of a message of each class.
     pub give_up: BTreeMap<String, Micros>,
+    /// Mailbox of the receipts' actor.
     pub receipts: Sender<ToReceipts>,
 }
 
-/// Accepts until `stop` is closed.
-pub async fn listen(front: Rc<Frontend>, listener: Async<TcpListener>, stop: Receiver<()>) {
+/// Accepts connections until `stop` is closed.
+pub async fn listen(frontend: Rc<Frontend>, listener: Async<TcpListener>, stop: Receiver<()>) {
     let mut session = 0;
     loop {
         let accepted = async { Some(listener.accept().await) };
@@ -43,122 +47,136 @@
             None => return,
             Some(Ok((stream, _))) => {
                 session += 1;
-                let counters = &front.shared.counters;
+                let counters = &frontend.shared.counters;
                 counters.inbound_opened.increment();
-                // Over the bound a session would take the room of those that are bound: it is closed.
-                if counters.inbound_open.get() >= front.shared.max_inbound {
+                // At the limit a further connection is closed, so that it does not compete with the bound
+                // sessions.
+                if counters.inbound_open.get() >= frontend.shared.max_inbound {
                     counters.inbound_turned_away.increment();
                     continue;
                 }
                 counters.inbound_open.increment();
-                let (front, executor) = (front.clone(), front.shared.executor.clone());
+                let (frontend, executor) = (frontend.clone(), frontend.shared.executor.clone());
                 let actor = async move {
-                    Session::new(&front, session, stream).run().await;
-                    let _ = front.receipts.send(ToReceipts::Down(session)).await;
-                    front.shared.counters.inbound_open.decrement();
+                    Session::new(&frontend, session, stream).run().await;
+                    let _ = frontend.receipts.send(ToReceipts::Closed(session)).await;
+                    frontend.shared.counters.inbound_open.decrement();
                 };
                 executor.spawn(actor).detach();
             }
             Some(Err(e)) => {
-                tracing::warn!("smpp accept: {e}");
+                tracing::warn!("smpp: cannot accept a connection, retrying: {e}");
                 async_io::Timer::after(std::time::Duration::from_millis(20)).await;
             }
         }
     }
 }
 
+/// The session of a client, or a connection that has not bound yet.
 struct Session<'a> {
-    front: &'a Frontend,
+    frontend: &'a Frontend,
     number: u64,
     stream: Async<TcpStream>,
     buffer: Buffer,
-    /// Its client, once bound, and whether it may submit.
+    /// System id of the bound client, and whether it may submit messages.
     bound: Option<(String, bool)>,
     sequence: u32,
-    /// Receipts out, by sequence number.
-    out: BTreeMap<u32, u64>,
-    asked: BTreeSet<u32>,
+    /// Ledger numbers of messages whose receipt was sent and not acknowledged, by sequence number of the
+    /// receipt.
+    unacknowledged: BTreeMap<u32, u64>,
+    /// Sequence numbers of enquire_link requests without a response.
+    pending_enquiries: BTreeSet<u32>,
 }
 
+/// What a session waits for.
 enum Event {
-    Pdu(Option<Read>),
+    Pdu(Option<ReadResult>),
     Receipt(StatusNotice),
     Silence,
     Closing,
 }
 
 impl<'a> Session<'a> {
-    fn new(front: &'a Frontend, number: u64, stream: Async<TcpStream>) -> Session<'a> {
+    fn new(frontend: &'a Frontend, number: u64, stream: Async<TcpStream>) -> Session<'a> {
         let _ = stream.get_ref().set_nodelay(true);
-        let buffer = Buffer::new(PDU_MOST);
-        let (out, asked) = Default::default();
-        Session { front, number, stream, buffer, bound: None, sequence: 0, out, asked }
+        let buffer = Buffer::new(MAX_PDU_BYTES);
+        let (unacknowledged, pending_enquiries) = Default::default();
+        Session {
+            frontend,
+            number,
+            stream,
+            buffer,
+            bound: None,
+            sequence: 0,
+            unacknowledged,
+            pending_enquiries,
+        }
     }
 
     async fn run(mut self) {
-        let (mailbox, receipts) = bounded(self.front.smpp.window);
-        let clock = self.front.shared.clock;
+        let (mailbox, receipts) = bounded(self.frontend.smpp.window);
+        let clock = self.frontend.shared.clock;
         let opened = clock.now();
-        let mut heard = opened;
+        let mut last_received = opened;
         loop {
-            let silence = match (&self.bound, self.asked.is_empty()) {
-                (None, _) => opened.plus(BIND_WITHIN),
-                (_, true) => heard.plus(self.front.smpp.enquire_link_interval),
-                (_, false) => heard.plus(self.front.smpp.enquire_link_interval).plus(PROMPT),
+            let silence_deadline = match (&self.bound, self.pending_enquiries.is_empty()) {
+                (None, _) => opened.plus(BIND_TIMEOUT),
+                (_, true) => last_received.plus(self.frontend.smpp.enquire_link_interval),
+                (_, false) => last_received.plus(self.frontend.smpp.enquire_link_interval).plus(IO_TIMEOUT),
             };
-            let room = self.out.len() < self.front.smpp.window;
+            let window_open = self.unacknowledged.len() < self.frontend.smpp.window;
             let event = {
-                let pdu = async { Event::Pdu(next(&mut self.buffer, &mut self.stream).await) };
+                let input = async { Event::Pdu(read_pdu(&mut self.buffer, &mut self.stream).await) };
                 let receipt = async {
-                    match room {
-                        // This session holds a sender itself, so the mailbox stays open.
+                    match window_open {
+                        // This session holds a sender of the mailbox itself, so the mailbox stays open.
                         true => receipts.recv().await.map_or(Event::Closing, Event::Receipt),
                         false => future::pending().await,
                     }
                 };
-                let quiet = async {
-                    clock.sleep_until(Some(silence)).await;
+                let silent = async {
+                    clock.sleep_until(Some(silence_deadline)).await;
                     Event::Silence
                 };
                 let closing = async {
-                    let _ = self.front.shared.calls_finished.recv().await;
+                    let _ = self.frontend.shared.calls_finished.recv().await;
                     Event::Closing
                 };
-                future::or(future::or(pdu, receipt), future::or(quiet, closing)).await
+                future::or(future::or(input, receipt), future::or(silent, closing)).await
             };
-            let sound = match event {
+            let session_ok = match event {
                 Event::Pdu(None) => false,
-                Event::Pdu(Some(Read::Pdu(command))) => {
-                    heard = clock.now();
-                    self.take(*command, &mailbox).await
+                Event::Pdu(Some(ReadResult::Pdu(pdu))) => {
+                    last_received = clock.now();
+                    self.handle_pdu(*pdu, &mailbox).await
                 }
-                Event::Pdu(Some(Read::Unreadable(sequence))) => {
-                    self.front.shared.counters.smpp_bad_pdus.increment();
-                    self.say(CommandStatus::EsmeRinvcmdid, sequence, Pdu::GenericNack).await
+                Event::Pdu(Some(ReadResult::Undecodable(sequence))) => {
+                    self.frontend.shared.counters.smpp_bad_pdus.increment();
+                    self.send_pdu(CommandStatus::EsmeRinvcmdid, sequence, Pdu::GenericNack).await
                 }
-                Event::Pdu(Some(Read::Lost)) => {
-                    self.front.shared.counters.smpp_bad_pdus.increment();
-                    self.say(CommandStatus::EsmeRinvcmdlen, 0, Pdu::GenericNack).await;
+                Event::Pdu(Some(ReadResult::FramingLost)) => {
+                    self.frontend.shared.counters.smpp_bad_pdus.increment();
+                    self.send_pdu(CommandStatus::EsmeRinvcmdlen, 0, Pdu::GenericNack).await;
                     false
                 }
-                Event::Receipt(e) => {
+                Event::Receipt(notice) => {
                     let sequence = self.next_sequence();
-                    self.out.insert(sequence, e.number);
-                    self.say(CommandStatus::EsmeRok, sequence, receipt(&e, clock.now())).await
+                    self.unacknowledged.insert(sequence, notice.number);
+                    self.send_pdu(CommandStatus::EsmeRok, sequence, receipt(&notice, clock.now())).await
                 }
-                Event::Silence if self.bound.is_some() && self.asked.is_empty() => {
+                Event::Silence if self.bound.is_some() && self.pending_enquiries.is_empty() => {
                     let sequence = self.next_sequence();
-                    self.asked.insert(sequence);
-                    self.say(CommandStatus::EsmeRok, sequence, Pdu::EnquireLink).await
+                    self.pending_enquiries.insert(sequence);
+                    self.send_pdu(CommandStatus::EsmeRok, sequence, Pdu::EnquireLink).await
                 }
                 Event::Silence => false,
                 Event::Closing => {
                     let sequence = self.next_sequence();
-                    self.say(CommandStatus::EsmeRok, sequence, Pdu::Unbind).await;
+                    self.send_pdu(CommandStatus::EsmeRok, sequence, Pdu::Unbind).await;
                     false
                 }
             };
-            if !sound {
+            if !session_ok {
                 return;
             }
         }
@@ -169,161 +187,168 @@
         self.sequence
     }
 
-    /// Writes a PDU. False if the session is over: a peer that does not read is not waited for.
-    async fn say(&mut self, status: CommandStatus, sequence: u32, pdu: impl Into<Pdu>) -> bool {
-        let bytes = command(status, sequence, pdu);
-        let clock = self.front.shared.clock;
-        let by = clock.now().plus(PROMPT);
-        matches!(clock.timeout_at(by, write(&mut self.stream, &bytes)).await, Some(Ok(())))
+    /// Writes a PDU. Returns false if the session has to end: a client that does not read is not waited
+    /// for.
+    async fn send_pdu(&mut self, status: CommandStatus, sequence: u32, pdu: impl Into<Pdu>) -> bool {
+        let bytes = encode_pdu(status, sequence, pdu);
+        let clock = self.frontend.shared.clock;
+        let deadline = clock.now().plus(IO_TIMEOUT);
+        matches!(clock.timeout_at(deadline, write_pdu(&mut self.stream, &bytes)).await, Some(Ok(())))
     }
 
-    async fn take(&mut self, c: Command, mailbox: &Sender<StatusNotice>) -> bool {
-        let (sequence, ok) = (c.sequence_number(), CommandStatus::EsmeRok);
+    /// Handles a PDU of the client. Returns false if the session has ended.
+    async fn handle_pdu(&mut self, pdu: Command, mailbox: &Sender<StatusNotice>) -> bool {
+        let (sequence, ok) = (pdu.sequence_number(), CommandStatus::EsmeRok);
         let unbound = CommandStatus::EsmeRinvbndsts;
-        match c.pdu() {
-            Some(Pdu::BindTransmitter(b)) => {
-                let status = self.bind(text(&b.system_id), true, None).await;
-                let resp = BindTransmitterResp::new(self.our_id(), Some(InterfaceVersion::Smpp3_4));
-                self.say(status, sequence, resp).await && status == ok
+        match pdu.pdu() {
+            Some(Pdu::BindTransmitter(bind)) => {
+                let status = self.bind(c_octet_text(&bind.system_id), true, None).await;
+                let resp = BindTransmitterResp::new(self.own_system_id(), Some(InterfaceVersion::Smpp3_4));
+                self.send_pdu(status, sequence, resp).await && status == ok
             }
-            Some(Pdu::BindReceiver(b)) => {
-                let status = self.bind(text(&b.system_id), false, Some(mailbox)).await;
-                let resp = BindReceiverResp::new(self.our_id(), Some(InterfaceVersion::Smpp3_4));
-                self.say(status, sequence, resp).await && status == ok
+            Some(Pdu::BindReceiver(bind)) => {
+                let status = self.bind(c_octet_text(&bind.system_id), false, Some(mailbox)).await;
+                let resp = BindReceiverResp::new(self.own_system_id(), Some(InterfaceVersion::Smpp3_4));
+                self.send_pdu(status, sequence, resp).await && status == ok
             }
-            Some(Pdu::BindTransceiver(b)) => {
-                let status = self.bind(text(&b.system_id), true, Some(mailbox)).await;
-                let resp = BindTransceiverResp::new(self.our_id(), Some(InterfaceVersion::Smpp3_4));
-                self.say(status, sequence, resp).await && status == ok
+            Some(Pdu::BindTransceiver(bind)) => {
+                let status = self.bind(c_octet_text(&bind.system_id), true, Some(mailbox)).await;
+                let resp = BindTransceiverResp::new(self.own_system_id(), Some(InterfaceVersion::Smpp3_4));
+                self.send_pdu(status, sequence, resp).await && status == ok
             }
             Some(Pdu::SubmitSm(sm)) => match self.bound.clone() {
                 Some((system_id, true)) => self.submit(sequence, &system_id, sm).await,
-                _ => self.say(unbound, sequence, SubmitSmResp::default()).await,
+                _ => self.send_pdu(unbound, sequence, SubmitSmResp::default()).await,
             },
-            Some(Pdu::EnquireLink) => self.say(ok, sequence, Pdu::EnquireLinkResp).await,
+            Some(Pdu::EnquireLink) => self.send_pdu(ok, sequence, Pdu::EnquireLinkResp).await,
             Some(Pdu::Unbind) => {
-                self.say(ok, sequence, Pdu::UnbindResp).await;
+                self.send_pdu(ok, sequence, Pdu::UnbindResp).await;
                 false
             }
             Some(Pdu::EnquireLinkResp) => {
-                self.asked.remove(&sequence);
+                self.pending_enquiries.remove(&sequence);
                 true
             }
-            Some(Pdu::DeliverSmResp(_) | Pdu::GenericNack) => self.acknowledged(sequence).await,
-            // Some peers leave the body of an answer out where its status is an error.
-            None if c.id() == rusmpp::CommandId::DeliverSmResp => self.acknowledged(sequence).await,
+            Some(Pdu::DeliverSmResp(_) | Pdu::GenericNack) => self.on_receipt_response(sequence).await,
+            // Some clients omit the body of a response with an error status.
+            None if pdu.id() == rusmpp::CommandId::DeliverSmResp => self.on_receipt_response(sequence).await,
             Some(Pdu::UnbindResp) => false,
             _ => {
-                self.front.shared.counters.smpp_bad_pdus.increment();
-                self.say(CommandStatus::EsmeRinvcmdid, sequence, Pdu::GenericNack).await
+                self.frontend.shared.counters.smpp_bad_pdus.increment();
+                self.send_pdu(CommandStatus::EsmeRinvcmdid, sequence, Pdu::GenericNack).await
             }
         }
     }
 
-    async fn acknowledged(&mut self, sequence: u32) -> bool {
-        if let Some(n) = self.out.remove(&sequence) {
-            let _ = self.front.receipts.send(ToReceipts::Acknowledged(n)).await;
+    /// Reports a receipt as acknowledged; a response with an error status counts as well.
+    async fn on_receipt_response(&mut self, sequence: u32) -> bool {
+        if let Some(number) = self.unacknowledged.remove(&sequence) {
+            let _ = self.frontend.receipts.send(ToReceipts::Acknowledged(number)).await;
         }
         true
     }
 
-    fn our_id(&self) -> rusmpp::types::COctetString<1, 16> {
-        field(&self.front.smpp.system_id)
+    fn own_system_id(&self) -> rusmpp::types::COctetString<1, 16> {
+        c_octet_string(&self.frontend.smpp.system_id)
     }
 
+    /// Binds the session to a client; returns the status of the response.
     async fn bind(
         &mut self, system_id: &str, submits: bool, receives: Option<&Sender<StatusNotice>>,
     ) -> CommandStatus {
         if self.bound.is_some() {
             return CommandStatus::EsmeRalybnd;
         }
-        if !self.front.smpp.tenant_by_system_id.contains_key(system_id) {
+        if !self.frontend.smpp.tenant_by_system_id.contains_key(system_id) {
             return CommandStatus::EsmeRinvsysid;
         }
-        if self.front.shared.stopping.get() {
+        if self.frontend.shared.stopping.get() {
             return CommandStatus::EsmeRbindfail;
         }
-        self.front.shared.counters.smpp_sessions.increment();
+        self.frontend.shared.counters.smpp_sessions.increment();
         self.bound = Some((system_id.to_owned(), submits));
         if let Some(mailbox) = receives {
             let (system_id, mailbox) = (system_id.to_owned(), mailbox.clone());
-            let up = ToReceipts::Up { session: self.number, system_id, mailbox };
-            let _ = self.front.receipts.send(up).await;
+            let bound_event = ToReceipts::Bound { session: self.number, system_id, mailbox };
+            let _ = self.frontend.receipts.send(bound_event).await;
         }
         CommandStatus::EsmeRok
     }
 
+    /// Submits a message to the core and answers with the result.
     async fn submit(&mut self, sequence: u32, system_id: &str, sm: &SubmitSm) -> bool {
-        let taken = match self.request(system_id, sm) {
-            Ok(taken) => taken,
+        let message = match self.accepted_message(system_id, sm) {
+            Ok(message) => message,
             Err(status) => {
-                self.front.shared.counters.bad_requests.increment();
-                return self.say(status, sequence, SubmitSmResp::default()).await;
+                self.frontend.shared.counters.bad_requests.increment();
+                return self.send_pdu(status, sequence, SubmitSmResp::default()).await;
             }
         };
-        let id = taken.request_id.clone();
-        let (reply, answer) = bounded(1);
-        let module = &self.front.shared.core;
-        let handed = module.send(CoreMessage::Submit(Submission { message: taken, reply })).await;
-        let reply = if handed.is_ok() { answer.recv().await.ok() } else { None };
+        let id = message.request_id.clone();
+        let (reply, core_reply) = bounded(1);
+        let core = &self.frontend.shared.core;
+        let sent = core.send(CoreMessage::Submit(Submission { message, reply })).await;
+        let reply = if sent.is_ok() { core_reply.recv().await.ok() } else { None };
         match reply.unwrap_or(SubmitReply::FailFast(None)) {
-            SubmitReply::Accepted(n) => {
-                let resp = SubmitSmResp::new(field(&id), Vec::new());
-                let heard = self.say(CommandStatus::EsmeRok, sequence, resp).await;
-                if !heard {
-                    self.front.shared.counters.unheard.increment();
-                    let _ = self.front.shared.core.send(CoreMessage::ReplyNotDelivered(n)).await;
+            SubmitReply::Accepted(number) => {
+                let resp = SubmitSmResp::new(c_octet_string(&id), Vec::new());
+                let delivered = self.send_pdu(CommandStatus::EsmeRok, sequence, resp).await;
+                if !delivered {
+                    self.frontend.shared.counters.unheard.increment();
+                    let _ = self.frontend.shared.core.send(CoreMessage::ReplyNotDelivered(number)).await;
                 }
-                heard
+                delivered
             }
             SubmitReply::Full => {
-                self.say(CommandStatus::EsmeRmsgqful, sequence, SubmitSmResp::default()).await
+                self.send_pdu(CommandStatus::EsmeRmsgqful, sequence, SubmitSmResp::default()).await
             }
             SubmitReply::FailFast(_) => {
-                self.say(CommandStatus::EsmeRthrottled, sequence, SubmitSmResp::default()).await
+                self.send_pdu(CommandStatus::EsmeRthrottled, sequence, SubmitSmResp::default()).await
             }
             SubmitReply::UnknownClassOrTenant => {
-                self.say(CommandStatus::EsmeRinvsertyp, sequence, SubmitSmResp::default()).await
+                self.send_pdu(CommandStatus::EsmeRinvsertyp, sequence, SubmitSmResp::default()).await
             }
             SubmitReply::UnknownDestination => {
-                self.say(CommandStatus::EsmeRinvdstadr, sequence, SubmitSmResp::default()).await
+                self.send_pdu(CommandStatus::EsmeRinvdstadr, sequence, SubmitSmResp::default()).await
             }
             SubmitReply::DuplicateId => {
-                self.say(CommandStatus::EsmeRsubmitfail, sequence, SubmitSmResp::default()).await
+                self.send_pdu(CommandStatus::EsmeRsubmitfail, sequence, SubmitSmResp::default()).await
             }
         }
     }
 
-    fn request(&self, system_id: &str, sm: &SubmitSm) -> Result<AcceptedMessage, CommandStatus> {
-        let Frontend { shared, smpp, give_up, .. } = self.front;
+    /// The message of a submit_sm PDU, or the status that refuses it.
+    fn accepted_message(&self, system_id: &str, sm: &SubmitSm) -> Result<AcceptedMessage, CommandStatus> {
+        let Frontend { shared, smpp, give_up, .. } = self.frontend;
         let now = shared.clock.now();
-        let service = text(sm.service_type.value());
+        let service = c_octet_text(sm.service_type.value());
         let class = smpp.class_for(service).ok_or(CommandStatus::EsmeRinvsertyp)?;
-        let to = text(&sm.destination_addr);
-        let destination = smpp.destination_for(to).ok_or(CommandStatus::EsmeRinvdstadr)?;
-        let most = *give_up.get(class).ok_or(CommandStatus::EsmeRinvsertyp)?;
-        let period = text(&sm.validity_period);
-        let left = match period {
-            "" => most,
-            p => time::validity(p, now).ok_or(CommandStatus::EsmeRinvexpiry)?.min(most),
+        let destination_address = c_octet_text(&sm.destination_addr);
+        let destination = smpp.destination_for(destination_address).ok_or(CommandStatus::EsmeRinvdstadr)?;
+        let longest = *give_up.get(class).ok_or(CommandStatus::EsmeRinvsertyp)?;
+        let period = c_octet_text(&sm.validity_period);
+        let lifetime = match period {
+            "" => longest,
+            period => time::validity(period, now).ok_or(CommandStatus::EsmeRinvexpiry)?.min(longest),
         };
-        if !text(&sm.schedule_delivery_time).is_empty() {
+        if !c_octet_text(&sm.schedule_delivery_time).is_empty() {
             return Err(CommandStatus::EsmeRinvsched);
         }
-        let payload = sm.tlvs().iter().find_map(|t| match t.value() {
-            Some(TlvValue::MessagePayload(p)) => Some(p.value.as_ref().to_vec()),
+        let payload = sm.tlvs().iter().find_map(|tlv| match tlv.value() {
+            Some(TlvValue::MessagePayload(payload)) => Some(payload.value.as_ref().to_vec()),
             _ => None,
         });
-        let note = Note {
+        let note = MessageNote {
             system_id: system_id.to_owned(),
-            source: text(&sm.source_addr).to_owned(),
-            destination: to.to_owned(),
-            coding: sm.data_coding.into(),
-            esm: sm.esm_class.into(),
+            source: c_octet_text(&sm.source_addr).to_owned(),
+            destination: destination_address.to_owned(),
+            data_coding: sm.data_coding.into(),
+            esm_class: sm.esm_class.into(),
         };
-        let margin = MARGIN.min(Micros(left.0 / 8));
-        // Unique over sessions and restarts: no two submissions share a microsecond and a session's sequence.
-        let id = format!("{:x}-{:x}-{:x}", now.0, self.number, shared.serial());
+        let margin = VALIDITY_MARGIN.min(Micros(lifetime.0 / 8));
+        // Unique over sessions and restarts: no two submissions share a microsecond and a serial number of
+        // the process.
+        let id = format!("{:x}-{:x}-{:x}", now.0, self.number, shared.next_serial());
         Ok(AcceptedMessage {
             number: 0,
             frontend: FRONTEND_ID,
@@ -333,9 +358,9 @@
             tenant: smpp.tenant_by_system_id.get(system_id).cloned().unwrap_or_default(),
             destination,
             idempotency_key: String::new(),
-            frontend_note: note.write(),
+            frontend_note: note.encode(),
             wants_receipt: true,
-            deadline: now.plus(left.since(margin)),
+            deadline: now.plus(lifetime.since(margin)),
             body: payload.unwrap_or_else(|| sm.short_message().as_ref().to_vec()),
         })
     }
--- a/daemon/src/net/smpp/mod.rs
+++ b/daemon/src/net/smpp/mod.rs
@@ -1,12 +1,12 @@
-//! SMPP v3.4, on the same decisions and rules as the HTTP front. The PDUs are rusmpp's; framing, sessions and
-//! what they mean are here.
+//! SMPP v3.4, on the same decisions of the core as the HTTP frontend. The crate rusmpp encodes and decodes
+//! PDUs; framing, sessions and the meaning of PDUs are implemented here.
 
 pub mod gateway;
 pub mod inbound;
 pub mod receipts;
 pub mod time;
 
-use super::buffer::{Buffer, write_whole};
+use super::buffer::{Buffer, write_fully};
 use bytes::BytesMut;
 use futures_lite::{AsyncRead, AsyncWrite};
 use onyxrock::interface::Micros;
@@ -17,95 +17,109 @@
 use serde_json::{Value, json};
 use std::io;
 
-/// The number of this front in the log.
+/// Identifies the SMPP frontend in stored records.
 pub const FRONTEND_ID: u8 = 1;
-/// A message_payload may hold 64 KiB; the rest of a PDU is small.
-pub const PDU_MOST: usize = 66 * 1024;
-const HEADER: usize = 16;
-/// How long one write may take, and an answer to enquire_link or unbind.
-const PROMPT: Micros = Micros(5_000_000);
+/// Largest PDU: a message_payload of 64 KiB, and a small rest.
+pub const MAX_PDU_BYTES: usize = 66 * 1024;
+/// Length of a PDU's header.
+const HEADER_BYTES: usize = 16;
+/// Time limit for one write, and for the response to enquire_link or unbind.
+const IO_TIMEOUT: Micros = Micros(5_000_000);
 
-/// What stands at the front of a buffer.
-pub enum Read {
+/// What the start of a buffer contains.
+pub enum ReadResult {
+    /// A complete PDU.
     Pdu(Box<Command>),
-    /// A whole PDU that cannot be read: its sequence number.
-    Unreadable(u32),
-    /// The framing is lost.
-    Lost,
+    /// A complete PDU that cannot be decoded; its sequence number.
+    Undecodable(u32),
+    /// The length field is invalid, so that the next PDU cannot be found either.
+    FramingLost,
 }
 
-/// Takes one PDU out of the buffer, if it is all there. A length that no PDU has means that nothing after it
-/// can be told apart either.
-pub fn take(buffer: &mut Buffer) -> Option<Read> {
+/// Takes one PDU out of the buffer, if it is complete.
+pub fn take_pdu(buffer: &mut Buffer) -> Option<ReadResult> {
     let data = buffer.data();
     let length = u32::from_be_bytes(data.get(..4)?.try_into().ok()?) as usize;
-    if !(HEADER..=PDU_MOST).contains(&length) {
-        return Some(Read::Lost);
+    if !(HEADER_BYTES..=MAX_PDU_BYTES).contains(&length) {
+        return Some(ReadResult::FramingLost);
     }
     let pdu = data.get(..length)?;
     let sequence = u32::from_be_bytes(pdu[12..16].try_into().ok()?);
     let mut bytes = BytesMut::from(&pdu[4..]);
     buffer.consume(length);
     Some(match Command::decode(&mut bytes, length - 4) {
-        Ok((command, _)) => Read::Pdu(Box::new(command)),
-        Err(_) => Read::Unreadable(sequence),
+        Ok((decoded, _)) => ReadResult::Pdu(Box::new(decoded)),
+        Err(_) => ReadResult::Undecodable(sequence),
     })
 }
 
-pub fn command(status: CommandStatus, sequence: u32, pdu: impl Into<Pdu>) -> Vec<u8> {
-    let command = Command::new(status, sequence, pdu);
-    let length = 4 + command.length();
+/// Encodes a PDU.
+pub fn encode_pdu(status: CommandStatus, sequence: u32, pdu: impl Into<Pdu>) -> Vec<u8> {
+    let pdu = Command::new(status, sequence, pdu);
+    let length = 4 + pdu.length();
     let mut bytes = vec![0; length];
     bytes[..4].copy_from_slice(&(length as u32).to_be_bytes());
-    command.encode(&mut bytes[4..]);
+    pdu.encode(&mut bytes[4..]);
     bytes
 }
 
-pub async fn write(to: &mut (impl AsyncWrite + Unpin), bytes: &[u8]) -> io::Result<()> {
-    write_whole(to, bytes).await
+/// Writes an encoded PDU.
+pub async fn write_pdu(writer: &mut (impl AsyncWrite + Unpin), bytes: &[u8]) -> io::Result<()> {
+    write_fully(writer, bytes).await
 }
 
-/// Reads until a PDU is there. None at the end of the stream.
-pub async fn next(buffer: &mut Buffer, from: &mut (impl AsyncRead + Unpin)) -> Option<Read> {
+/// Reads until a PDU is complete. `None` at the end of the stream.
+pub async fn read_pdu(buffer: &mut Buffer, reader: &mut (impl AsyncRead + Unpin)) -> Option<ReadResult> {
     loop {
-        if let Some(read) = take(buffer) {
-            return Some(read);
+        if let Some(result) = take_pdu(buffer) {
+            return Some(result);
         }
-        if !buffer.fill(from).await.is_ok_and(|n| n > 0) {
+        if !buffer.fill(reader).await.is_ok_and(|n| n > 0) {
             return None;
         }
     }
 }
 
-/// Text as a field of an SMPP message; what does not fit is cut off.
-pub fn field<const MIN: usize, const MAX: usize>(text: &str) -> COctetString<MIN, MAX> {
-    let plain = text.bytes().filter(|b| b.is_ascii() && *b != 0).take(MAX - 1).chain([0]);
-    COctetString::from_vec(plain.collect()).unwrap_or_else(|_| COctetString::null())
+/// Text as a C-octet string field; what does not fit is cut off.
+pub fn c_octet_string<const MIN: usize, const MAX: usize>(value: &str) -> COctetString<MIN, MAX> {
+    let ascii = value.bytes().filter(|b| b.is_ascii() && *b != 0).take(MAX - 1).chain([0]);
+    COctetString::from_vec(ascii.collect()).unwrap_or_else(|_| COctetString::null())
 }
 
-pub fn text(field: &impl AsRef<[u8]>) -> &str {
-    std::str::from_utf8(field.as_ref()).unwrap_or("").trim_end_matches('\0')
+/// The text of a C-octet string field, empty if it is not UTF-8.
+pub fn c_octet_text(octets: &impl AsRef<[u8]>) -> &str {
+    std::str::from_utf8(octets.as_ref()).unwrap_or("").trim_end_matches('\0')
 }
 
-/// What the log keeps of a message's addresses, for its receipt and for a gateway.
+/// Addresses and encoding of a message, stored with it for its receipt and for a gateway.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Note {
-    /// Who submitted it.
+pub struct MessageNote {
+    /// The client that submitted the message.
     pub system_id: String,
     pub source: String,
     pub destination: String,
-    pub coding: u8,
-    pub esm: u8,
+    /// Encoding of the body.
+    pub data_coding: u8,
+    /// Message mode and type.
+    pub esm_class: u8,
 }
 
-impl Note {
-    pub fn write(&self) -> String {
-        json!([self.system_id, self.source, self.destination, self.coding, self.esm]).to_string()
+impl MessageNote {
+    /// The note as JSON, as it is stored with the message.
+    pub fn encode(&self) -> String {
+        json!([self.system_id, self.source, self.destination, self.data_coding, self.esm_class]).to_string()
     }
-    pub fn read(note: &str) -> Note {
-        let v: Value = serde_json::from_str(note).unwrap_or_default();
-        let text = |i: usize| v[i].as_str().unwrap_or("").to_owned();
-        let byte = |i: usize| v[i].as_u64().unwrap_or(0) as u8;
-        Note { system_id: text(0), source: text(1), destination: text(2), coding: byte(3), esm: byte(4) }
+    /// Parses a stored note; fields that are missing or invalid are empty.
+    pub fn decode(note: &str) -> MessageNote {
+        let values: Value = serde_json::from_str(note).unwrap_or_default();
+        let string = |i: usize| values[i].as_str().unwrap_or("").to_owned();
+        let byte = |i: usize| values[i].as_u64().unwrap_or(0) as u8;
+        MessageNote {
+            system_id: string(0),
+            source: string(1),
+            destination: string(2),
+            data_coding: byte(3),
+            esm_class: byte(4),
+        }
     }
 }
