--- a/lab/src/daemon.rs
+++ b/lab/src/daemon.rs
@@ -4,10 +4,10 @@
 mod preload;
 mod settings;
 
-pub use operators::call_operator;
+pub use operators::send_operator_command;
 pub use preload::Preload;
 
-use crate::http::ask;
+use crate::http::send_request;
 use async_channel::{Receiver, Sender, unbounded};
 use rustix::process::{Pid, Resource, Rlimit, Signal, kill_process, prlimit};
 use serde_json::{Value, json};
@@ -41,13 +41,13 @@
     /// The process that was there before the one beside it, while it ends.
     old: Option<Process>,
     /// It listens for operators.
-    pub with_operators: bool,
+    pub operators_enabled: bool,
     /// Where clients reach it.
-    pub http: Option<SocketAddr>,
+    pub client_address: Option<SocketAddr>,
     /// Where operators reach its newest process.
-    pub operators: Option<SocketAddr>,
+    pub newest_operator_address: Option<SocketAddr>,
     /// Where members reach it.
-    pub members: Option<SocketAddr>,
+    pub member_address: Option<SocketAddr>,
     starts: u32,
     stopped: Cell<bool>,
 }
@@ -55,7 +55,7 @@
 impl Drop for Daemon {
     fn drop(&mut self) {
         self.kill();
-        self.kill_old();
+        self.kill_previous();
     }
 }
 
@@ -75,14 +75,14 @@
 
 /// Which of a daemon's processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Which {
+pub enum ProcessChoice {
     Newest,
     /// The one before it, while it ends.
-    Old,
+    Previous,
 }
 
 /// The daemon beside this program, as one build makes both.
-pub fn beside() -> Result<PathBuf, String> {
+pub fn default_program() -> Result<PathBuf, String> {
     let me = std::env::current_exe().map_err(|e| e.to_string())?;
     let path = me.with_file_name("onyxrock");
     if path.exists() {
@@ -114,10 +114,10 @@
             preload: None,
             child,
             old: None,
-            with_operators: false,
-            http,
-            operators: None,
-            members,
+            operators_enabled: false,
+            client_address: http,
+            newest_operator_address: None,
+            member_address: members,
             starts,
             stopped,
         })
@@ -126,18 +126,18 @@
     /// Starts the process and waits until it listens. Its log is `daemon.log` in its folder.
     pub async fn start(&mut self) -> Result<(), String> {
         if let Some(preload) = &self.preload {
-            preload.write("")?;
+            preload.write_plan("")?;
         }
-        (self.http, self.members, self.operators) = (None, None, None);
+        (self.client_address, self.member_address, self.newest_operator_address) = (None, None, None);
         self.spawn("127.0.0.1:0").await
     }
 
     /// Starts a second process beside the first, at the same address for clients, and waits until it listens.
-    pub async fn start_beside(&mut self) -> Result<(), String> {
-        let at = self.http.ok_or("it does not listen")?;
-        self.kill_old();
+    pub async fn start_sibling(&mut self) -> Result<(), String> {
+        let at = self.client_address.ok_or("it does not listen")?;
+        self.kill_previous();
         let child = self.child.take().ok_or("it is not there")?;
-        self.old = Some(Process { child, operators: self.operators });
+        self.old = Some(Process { child, operators: self.newest_operator_address });
         self.spawn(&at.to_string()).await
     }
 
@@ -176,19 +176,20 @@
         };
         let started = futures_lite::future::or(listens(&lines), late).await;
         let listening = started.map_err(|e| format!("{}: {e}", self.name))?;
-        (self.http, self.members, self.operators) = (listening.http, listening.members, listening.operators);
+        (self.client_address, self.member_address, self.newest_operator_address) =
+            (listening.http, listening.members, listening.operators);
         Ok(())
     }
 
     fn config(&self) -> Value {
         json!({"name": self.name, "seed": format!("{:x}", self.starts), "listen": "127.0.0.1:0",
             "discovery": self.discovery.to_string(), "known": self.known, "settings": self.settings,
-            "mgmt": self.with_operators.then_some("127.0.0.1:0"),
+            "mgmt": self.operators_enabled.then_some("127.0.0.1:0"),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 3}})
     }
 
     /// A new configuration that names another discovery, and SIGHUP.
-    pub fn reload(&mut self, discovery: SocketAddr) -> Result<(), String> {
+    pub fn reload_with_discovery(&mut self, discovery: SocketAddr) -> Result<(), String> {
         self.discovery = discovery;
         write(&self.folder.join("config.json"), &self.config().to_string())?;
         self.signal(Signal::HUP);
@@ -196,20 +197,20 @@
     }
 
     /// A new configuration with other settings, and SIGHUP.
-    pub fn reload_settings(&mut self, settings: Value) -> Result<(), String> {
+    pub fn reload_with_settings(&mut self, settings: Value) -> Result<(), String> {
         self.settings = settings;
-        self.reload(self.discovery)
+        self.reload_with_discovery(self.discovery)
     }
 
     /// A configuration that cannot be read, and SIGHUP.
-    pub fn reload_broken(&self) -> Result<(), String> {
+    pub fn reload_invalid_config(&self) -> Result<(), String> {
         write(&self.folder.join("config.json"), "{\"name\": ")?;
         self.signal(Signal::HUP);
         Ok(())
     }
 
     /// What a start finds as the list that it last had.
-    pub fn set_known(&mut self, known: Value) {
+    pub fn set_cached_list(&mut self, known: Value) {
         self.known = known;
     }
 
@@ -221,7 +222,7 @@
     }
 
     /// The limit that it has at its start.
-    pub fn free_descriptors(&self) -> bool {
+    pub fn restore_descriptor_limit(&self) -> bool {
         self.limit_descriptors(DESCRIPTORS)
     }
 
@@ -231,57 +232,57 @@
     }
 
     /// It has ended; its process is not there any more.
-    pub fn has_ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         let ended = self.child.as_mut().is_none_or(|c| !matches!(c.try_wait(), Ok(None)));
         if ended {
-            (self.child, self.http, self.members) = (None, None, None);
+            (self.child, self.client_address, self.member_address) = (None, None, None);
         }
         ended
     }
 
     /// How often it was started.
-    pub fn starts(&self) -> u32 {
+    pub fn start_count(&self) -> u32 {
         self.starts
     }
 
     /// What it kept is gone. Only while it is down.
-    pub fn wipe(&self) -> Result<(), String> {
+    pub fn wipe_state(&self) -> Result<(), String> {
         let state = self.folder.join("state");
         std::fs::remove_dir_all(&state).map_err(|e| e.to_string())?;
         std::fs::create_dir_all(&state).map_err(|e| e.to_string())
     }
 
     /// The lines of its log that hold this.
-    pub fn logged(&self, what: &str) -> Vec<String> {
+    pub fn log_lines_containing(&self, what: &str) -> Vec<String> {
         let text = std::fs::read_to_string(self.folder.join("daemon.log")).unwrap_or_default();
         text.lines().filter(|l| l.contains(what)).map(str::to_owned).collect()
     }
 
     /// Where operators reach one of its processes.
-    pub fn operators_at(&self, which: Which) -> Option<SocketAddr> {
+    pub fn operator_address(&self, which: ProcessChoice) -> Option<SocketAddr> {
         let old = || self.old.as_ref().and_then(|old| old.operators);
-        if which == Which::Newest { self.operators } else { old() }
+        if which == ProcessChoice::Newest { self.newest_operator_address } else { old() }
     }
 
     /// The newest process is killed, and the one before it goes on alone.
-    pub fn give_up_newest(&mut self) {
+    pub fn kill_newest(&mut self) {
         let Some(old) = self.old.take() else { return };
         if let Some(mut newest) = self.child.replace(old.child) {
             let _ = newest.kill();
             let _ = newest.wait();
         }
-        self.operators = old.operators;
+        self.newest_operator_address = old.operators;
     }
 
     /// SIGTERM to the process before the newest one.
-    pub fn terminate_old(&self) {
+    pub fn terminate_previous(&self) {
         if let Some(old) = &self.old {
             let _ = kill_process(Pid::from_child(&old.child), Signal::TERM);
         }
     }
 
     /// That process is not there any more.
-    pub fn old_has_ended(&mut self) -> bool {
+    pub fn previous_has_exited(&mut self) -> bool {
         let ended = self.old.as_mut().is_none_or(|old| !matches!(old.child.try_wait(), Ok(None)));
         if ended {
             self.old = None;
@@ -290,7 +291,7 @@
     }
 
     /// SIGKILL to that process.
-    pub fn kill_old(&mut self) {
+    pub fn kill_previous(&mut self) {
         if let Some(mut old) = self.old.take() {
             let _ = old.child.kill();
             let _ = old.child.wait();
@@ -298,7 +299,7 @@
     }
 
     /// SIGHUP, with the configuration as it stands.
-    pub fn hang_up(&self) {
+    pub fn send_sighup(&self) {
         self.signal(Signal::HUP);
     }
 
@@ -309,15 +310,15 @@
             let _ = child.kill();
             let _ = child.wait();
         }
-        (self.http, self.members) = (None, None);
+        (self.client_address, self.member_address) = (None, None);
     }
 
     /// It stands still until [`Daemon::go`].
-    pub fn stop(&self) {
+    pub fn pause(&self) {
         self.stopped.set(true);
         self.signal(Signal::STOP);
     }
-    pub fn go(&self) {
+    pub fn resume(&self) {
         self.stopped.set(false);
         self.signal(Signal::CONT);
     }
@@ -333,18 +334,18 @@
     }
 
     /// What it shows at a path, as JSON.
-    pub async fn show(&self, path: &str) -> Option<Value> {
+    pub async fn get_json(&self, path: &str) -> Option<Value> {
         // One that stands still answers nothing: it is not waited for.
         if self.stopped.get() {
             return None;
         }
         let request = format!("GET {path} HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n");
-        let (status, body) = ask(self.http?, &request, Duration::from_millis(500)).await?;
+        let (status, body) = send_request(self.client_address?, &request, Duration::from_millis(500)).await?;
         serde_json::from_str(&body).ok().filter(|_| status == 200)
     }
 
     /// Times that its threads have gone to sleep by themselves.
-    pub fn sleeps(&self) -> Option<u64> {
+    pub fn voluntary_context_switches(&self) -> Option<u64> {
         let pid = self.child.as_ref()?.id();
         let mut sum = 0;
         for thread in std::fs::read_dir(format!("/proc/{pid}/task")).ok()?.flatten() {
@@ -356,13 +357,13 @@
     }
 
     /// Threads that it has.
-    pub fn threads(&self) -> Option<usize> {
+    pub fn thread_count(&self) -> Option<usize> {
         let pid = self.child.as_ref()?.id();
         Some(std::fs::read_dir(format!("/proc/{pid}/task")).ok()?.count())
     }
 
     /// Kilobytes of memory, and seconds of the processor.
-    pub fn cost(&self) -> Option<(u64, f64)> {
+    pub fn memory_and_cpu(&self) -> Option<(u64, f64)> {
         let pid = self.child.as_ref()?.id();
         let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
         let rss = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
--- a/lab/src/daemon/operators.rs
+++ b/lab/src/daemon/operators.rs
@@ -9,7 +9,7 @@
 const OPERATORS_WAIT: Duration = Duration::from_secs(1);
 
 /// One line to a connection, and one line back.
-pub async fn call_operator(at: SocketAddr, line: &str) -> Option<String> {
+pub async fn send_operator_command(at: SocketAddr, line: &str) -> Option<String> {
     let call = async {
         let mut stream = Async::<TcpStream>::connect(at).await.ok()?;
         stream.write_all(format!("{line}\n").as_bytes()).await.ok()?;
--- a/lab/src/daemon/preload.rs
+++ b/lab/src/daemon/preload.rs
@@ -14,7 +14,7 @@
 
 impl Preload {
     /// With the library beside this program, as one build makes both, and a plan in a daemon's folder.
-    pub fn beside(plan: PathBuf) -> Result<Preload, String> {
+    pub fn with_plan(plan: PathBuf) -> Result<Preload, String> {
         let me = std::env::current_exe().map_err(|e| e.to_string())?;
         let library = me.with_file_name("libonyxrock_preload.so");
         if !library.exists() {
@@ -24,12 +24,12 @@
     }
 
     /// From now on this fails.
-    pub fn write(&self, plan: &str) -> Result<(), String> {
+    pub fn write_plan(&self, plan: &str) -> Result<(), String> {
         write(&self.plan, plan)
     }
 
     /// How often a fault of this name was met.
-    pub fn hits(&self, what: &str) -> usize {
+    pub fn hit_count(&self, what: &str) -> usize {
         let file = format!("{}.hits", self.plan.display());
         std::fs::read_to_string(file).unwrap_or_default().lines().filter(|line| *line == what).count()
     }
--- a/lab/src/experiments/cluster.rs
+++ b/lab/src/experiments/cluster.rs
@@ -1,12 +1,12 @@
 //! Daemons that share duties, their partners, clients and network.
 
-use super::Setup;
+use super::ExperimentContext;
 use crate::daemon::Daemon;
-use crate::world::clients::Clients;
-use crate::world::discovery::Discovery;
-use crate::world::net::Net;
-use crate::world::partner::{Partner, Strength};
-use crate::world::{World, sleep};
+use crate::testbed::clients::Clients;
+use crate::testbed::discovery::Discovery;
+use crate::testbed::network::Net;
+use crate::testbed::partner::{Partner, Strength};
+use crate::testbed::{Runtime, sleep};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::rc::Rc;
@@ -38,7 +38,7 @@
     pub net: Rc<Net>,
     pub discovery: Rc<Discovery>,
     pub plan: Plan,
-    world: World,
+    world: Runtime,
 }
 
 fn product(plan: &Plan, net: &Net, me: usize) -> String {
@@ -62,8 +62,8 @@
 }
 
 impl Cluster {
-    pub async fn start(setup: &Setup, plan: Plan) -> Result<Cluster, String> {
-        let world = setup.world.clone();
+    pub async fn start(setup: &ExperimentContext, plan: Plan) -> Result<Cluster, String> {
+        let world = setup.runtime.clone();
         let partner = |d| Partner::start(&world, d, plan.strength);
         let partners = (1..=plan.partners).map(partner).collect::<Result<Vec<_>, _>>()?;
         let discovery = Discovery::start(&world, &partners)?;
@@ -76,8 +76,8 @@
             let list = discovery.list();
             let d = Daemon::new(
                 &name(&plan, i),
-                &setup.daemon,
-                &setup.out,
+                &setup.daemon_program,
+                &setup.output_dir,
                 discovery.address,
                 list,
                 product,
@@ -94,8 +94,8 @@
 
     pub async fn up(&mut self, i: usize) -> Result<(), String> {
         self.daemons[i].start().await?;
-        self.net.targets[i].set(self.daemons[i].members);
-        self.clients.at[i].set(self.daemons[i].http);
+        self.net.targets[i].set(self.daemons[i].member_address);
+        self.clients.at[i].set(self.daemons[i].client_address);
         Ok(())
     }
 
@@ -109,11 +109,11 @@
     pub async fn leases(&self) -> Vec<(String, u64, u64, usize, u32)> {
         let mut all = Vec::new();
         for (i, d) in self.daemons.iter().enumerate() {
-            let Some(shown) = d.show("/duties").await else { continue };
+            let Some(shown) = d.get_json("/duties").await else { continue };
             for o in shown["owned"].as_array().into_iter().flatten() {
                 let number = |key: &str| o[key].as_u64().unwrap_or(0);
                 let kind = o["duty"].as_str().unwrap_or("?").to_owned();
-                all.push((kind, number("of"), number("epoch"), i, d.starts()));
+                all.push((kind, number("of"), number("epoch"), i, d.start_count()));
             }
         }
         all
@@ -123,7 +123,7 @@
     pub async fn owners(&self) -> BTreeMap<u64, Vec<usize>> {
         let mut owners: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
         for (i, d) in self.daemons.iter().enumerate() {
-            let Some(shown) = d.show("/duties").await else { continue };
+            let Some(shown) = d.get_json("/duties").await else { continue };
             let owned = shown["owned"].as_array().into_iter().flatten();
             for o in owned.filter(|o| o["duty"] == "probe") {
                 owners.entry(o["of"].as_u64().unwrap_or(0)).or_default().push(i);
@@ -147,7 +147,7 @@
 
     /// Seconds of the processor that all have taken, and kilobytes of memory that they have.
     pub fn cost(&self) -> (f64, u64) {
-        let costs = self.daemons.iter().filter_map(Daemon::cost);
+        let costs = self.daemons.iter().filter_map(Daemon::memory_and_cpu);
         costs.fold((0.0, 0), |sum, (rss, cpu)| (sum.0 + cpu, sum.1 + rss))
     }
 
@@ -163,7 +163,7 @@
     pub async fn counter(&self, name: &str) -> u64 {
         let mut sum = 0;
         for d in &self.daemons {
-            sum += d.show("/counters").await.and_then(|c| c[name].as_u64()).unwrap_or(0);
+            sum += d.get_json("/counters").await.and_then(|c| c[name].as_u64()).unwrap_or(0);
         }
         sum
     }
--- a/lab/src/experiments/duties.rs
+++ b/lab/src/experiments/duties.rs
@@ -1,10 +1,10 @@
 //! Duties shared among instances.
 
-use super::Setup;
+use super::ExperimentContext;
 use super::cluster::{Cluster, Plan};
 use crate::report::{Claim, Report, most_within, quantile};
-use crate::world::partner::{Mode, Partner, Strength};
-use crate::world::sleep;
+use crate::testbed::partner::{Mode, Partner, Strength};
+use crate::testbed::sleep;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::json;
@@ -30,10 +30,10 @@
 }
 
 /// Every partner fails what it is sent, slowly enough that two probes at once would meet.
-async fn all_fail(c: &Cluster, setup: &Setup) -> Result<(), String> {
+async fn all_fail(c: &Cluster, setup: &ExperimentContext) -> Result<(), String> {
     c.partners.iter().for_each(|p| p.mode.set(Mode::Failing(0.15)));
     let took = c.settled(20.0).await.ok_or("the duties found no owners within 20 s")?;
-    setup.progress(&format!(
+    setup.log_progress(&format!(
         "each of {} duties has one owner, {took:.1} s after the partners failed",
         c.plan.partners
     ));
@@ -78,10 +78,10 @@
 
 impl Takeovers {
     /// Looks who holds what until a time, by the word of those that are up.
-    async fn watch(&mut self, c: &Cluster, setup: &Setup, until: f64) {
-        while setup.world.now() < until {
+    async fn watch(&mut self, c: &Cluster, setup: &ExperimentContext, until: f64) {
+        while setup.runtime.now() < until {
             let owners = c.owners().await;
-            let now = setup.world.now();
+            let now = setup.runtime.now();
             let took = &mut self.took;
             self.pending.retain(|(at, duty)| {
                 let held = owners.get(duty).is_some_and(|o| !o.is_empty());
@@ -95,21 +95,21 @@
     }
 }
 
-pub async fn kill(setup: &Setup) -> Result<Report, String> {
+pub async fn kill(setup: &ExperimentContext) -> Result<Report, String> {
     let mut c = Cluster::start(setup, plan()).await?;
     all_fail(&c, setup).await?;
     sleep(3.0).await;
-    let began = setup.world.now();
+    let began = setup.runtime.now();
     let rounds = if setup.short { 4 } else { 30 };
     let mut dice = StdRng::seed_from_u64(3);
     let mut killed: Vec<(f64, Vec<u64>)> = Vec::new();
     let mut takeovers = Takeovers::default();
-    let (net_before, at_before) = ((c.net.datagrams.get(), c.net.bytes.get()), setup.world.now());
+    let (net_before, at_before) = ((c.net.datagrams.get(), c.net.bytes.get()), setup.runtime.now());
     for round in 0..rounds {
         let owners = c.owners().await;
         let duties: Vec<_> = owners.iter().filter(|(_, o)| !o.is_empty()).collect();
         if duties.is_empty() {
-            setup.progress("no duty has an owner: nobody to kill");
+            setup.log_progress("no duty has an owner: nobody to kill");
             sleep(2.0).await;
             continue;
         }
@@ -118,20 +118,20 @@
         let lost: Vec<_> = owners.iter().filter(|(_, o)| o.contains(&victim)).map(|(d, _)| *d).collect();
         // Half of them in the middle of a probe: wait until one is out at a partner that it probes.
         if round % 2 == 0 {
-            let until = setup.world.now() + 1.0;
+            let until = setup.runtime.now() + 1.0;
             let out = || {
                 let theirs = c.partners.iter().filter(|p| lost.contains(&p.destination));
                 theirs
                     .into_iter()
                     .any(|p| p.hits.borrow().iter().rev().take(8).any(|h| h.probe && h.until.is_infinite()))
             };
-            while !out() && setup.world.now() < until {
+            while !out() && setup.runtime.now() < until {
                 sleep(0.002).await;
             }
         }
-        let at = setup.world.now();
+        let at = setup.runtime.now();
         c.kill(victim);
-        setup.progress(&format!("killed {}, which had {lost:?}", c.daemons[victim].name));
+        setup.log_progress(&format!("killed {}, which had {lost:?}", c.daemons[victim].name));
         takeovers.pending.extend(lost.iter().map(|d| (at, *d)));
         killed.push((at, lost));
         takeovers.watch(&c, setup, at + 1.0).await;
@@ -139,7 +139,7 @@
         takeovers.watch(&c, setup, at + 2.0).await;
         c.check()?;
     }
-    let ended = setup.world.now();
+    let ended = setup.runtime.now();
     takeovers.watch(&c, setup, ended + GAP_MS / 1000.0).await;
     let mut took = takeovers.took;
     took.extend(takeovers.pending.iter().map(|_| f64::INFINITY));
@@ -172,28 +172,28 @@
     })
 }
 
-pub async fn split(setup: &Setup) -> Result<Report, String> {
+pub async fn split(setup: &ExperimentContext) -> Result<Report, String> {
     let mut c = Cluster::start(setup, plan()).await?;
     all_fail(&c, setup).await?;
     let span = if setup.short { 4.0 } else { 12.0 };
-    let began = setup.world.now();
+    let began = setup.runtime.now();
     let mut heals = Vec::new();
     let mut healed = async |c: &Cluster, what: &str| {
         c.net.heal();
         let took = c.settled(20.0).await.unwrap_or(f64::INFINITY);
-        setup.progress(&format!("{what} is over; one owner each after {took:.1} s"));
+        setup.log_progress(&format!("{what} is over; one owner each after {took:.1} s"));
         heals.push(took * 1000.0);
     };
     sleep(2.0).await;
     for (what, low) in [("a split of 2 and 3", 2), ("a split of 4 and 1", 4)] {
-        setup.progress(what);
+        setup.log_progress(what);
         c.net.split(|m| m < low);
         sleep(span).await;
         healed(&c, what).await;
     }
     // The others hear A, A does not hear them, and the other way round.
     for (what, deaf) in [("one that hears nobody", true), ("one that nobody hears", false)] {
-        setup.progress(what);
+        setup.log_progress(what);
         let a = c.owners().await.values().flatten().next().copied().unwrap_or(0);
         let ways = (0..c.daemons.len()).filter(|b| *b != a).map(|b| if deaf { (b, a) } else { (a, b) });
         c.net.faults.cut(ways);
@@ -203,15 +203,15 @@
     // Owners that stand still for longer than their leases, in the middle of a probe or not, and go on.
     for i in 0..if setup.short { 2 } else { 6 } {
         let Some(a) = c.owners().await.values().flatten().next().copied() else { continue };
-        setup.progress(&format!("{} stands still", c.daemons[a].name));
-        c.daemons[a].stop();
+        setup.log_progress(&format!("{} stands still", c.daemons[a].name));
+        c.daemons[a].pause();
         sleep(c.plan.lease_s * 1.5 + 0.17 * f64::from(i)).await;
-        c.daemons[a].go();
+        c.daemons[a].resume();
         sleep(1.0).await;
     }
     healed(&c, "standing still").await;
     c.check()?;
-    let ended = setup.world.now();
+    let ended = setup.runtime.now();
     let [rate, overlap] = held(&c);
     let probes: usize = c.partners.iter().map(|p| p.probes(began, ended).len()).sum();
     Ok(Report {
@@ -227,19 +227,19 @@
     })
 }
 
-pub async fn cold(setup: &Setup) -> Result<Report, String> {
+pub async fn cold(setup: &ExperimentContext) -> Result<Report, String> {
     let strength = Strength { per_s: 40.0, ..Strength::default() };
     let one = |label, alone| Plan { label, partners: 1, strength, load: 5.0, per_s: 1.0, alone, ..plan() };
     let shared = Cluster::start(setup, one("s", false)).await?;
     let alone = Cluster::start(setup, one("a", true)).await?;
     let mut both = [shared, alone];
     sleep(4.0).await;
-    setup.progress("both partners hang");
+    setup.log_progress("both partners hang");
     both.iter().for_each(|c| c.partners[0].mode.set(Mode::Hanging));
-    let down = setup.world.now();
+    let down = setup.runtime.now();
     sleep(if setup.short { 8.0 } else { 20.0 }).await;
-    let back = setup.world.now();
-    setup.progress("both come back cold");
+    let back = setup.runtime.now();
+    setup.log_progress("both come back cold");
     both.iter().for_each(|c| c.partners[0].mode.set(Mode::Cold(back)));
     sleep(strength.warm_within + 3.0).await;
     let mut seen = Vec::new();
@@ -282,17 +282,17 @@
     })
 }
 
-pub async fn wait(setup: &Setup) -> Result<Report, String> {
+pub async fn wait(setup: &ExperimentContext) -> Result<Report, String> {
     const WAIT: f64 = 3.0;
     let mut c = Cluster::start(setup, Plan { partners: 2, ..plan() }).await?;
     all_fail(&c, setup).await?;
     sleep(2.0).await;
     let mut early = 0;
     let mut waits = 0;
-    let until = setup.world.now() + if setup.short { 10.0 } else { 40.0 };
-    setup.progress("both partners tell everybody to wait 3 s");
+    let until = setup.runtime.now() + if setup.short { 10.0 } else { 40.0 };
+    setup.log_progress("both partners tell everybody to wait 3 s");
     c.partners.iter().for_each(|p| p.mode.set(Mode::Full(WAIT)));
-    sleep(until - setup.world.now()).await;
+    sleep(until - setup.runtime.now()).await;
     c.check()?;
     for p in &c.partners {
         let hits = p.hits.borrow();
@@ -318,7 +318,7 @@
 }
 
 /// The list is asked for by one and told to all, beside five that ask each for itself.
-pub async fn list(setup: &Setup) -> Result<Report, String> {
+pub async fn list(setup: &ExperimentContext) -> Result<Report, String> {
     let one = |label, list| Plan { label, list, partners: 6, load: 20.0, ..plan() };
     let shared = Cluster::start(setup, one("s", true)).await?;
     let alone = Cluster::start(setup, one("a", false)).await?;
@@ -335,7 +335,7 @@
     let cpu = |i: usize| ((cost[i].0 - cost_before[i].0) / span / 5.0 * 1e5).round() / 100.0;
     let each = |i: usize| json!({"cpu_ms_per_s": cpu(i), "rss_kb": cost[i].1 / 5});
     let asked = [0, 1].map(|i| (both[i].discovery.asked.get() - asked_before[i]) as f64);
-    setup.progress(&format!(
+    setup.log_progress(&format!(
         "the list was asked for {} times in {span} s, and {} times by all",
         asked[0], asked[1]
     ));
@@ -344,7 +344,7 @@
     let mut last: f64 = 0.0;
     let mut before: usize = usize::MAX;
     for destination in 1..=2 {
-        let told = setup.world.now();
+        let told = setup.runtime.now();
         both[0].discovery.tell(destination, "Terminating");
         sleep(2.5).await;
         let hits = both[0].partners[destination as usize - 1].hits.borrow();
@@ -353,18 +353,21 @@
         late += after.iter().filter(|t| **t > 1.05).count();
         last = after.iter().copied().fold(last, f64::max);
     }
-    setup.progress(&format!("the last call to what drains came {:.0} ms after it was told", last * 1000.0));
+    setup.log_progress(&format!(
+        "the last call to what drains came {:.0} ms after it was told",
+        last * 1000.0
+    ));
     // The one that asks dies, and at the same moment a third partner drains.
     let mut owner = None;
     for (i, d) in both[0].daemons.iter().enumerate() {
-        let shown = d.show("/duties").await.unwrap_or_default();
+        let shown = d.get_json("/duties").await.unwrap_or_default();
         if shown["owned"].as_array().into_iter().flatten().any(|o| o["duty"] == "list") {
             owner = Some(i);
         }
     }
     let owner = owner.ok_or("nobody asks for the list")?;
     both[0].kill(owner);
-    let told = setup.world.now();
+    let told = setup.runtime.now();
     both[0].discovery.tell(3, "Terminating");
     sleep(6.0).await;
     let died = {
--- a/lab/src/experiments/fleet.rs
+++ b/lab/src/experiments/fleet_limit.rs
@@ -1,7 +1,7 @@
 //! A limit that many senders overrun together, and the calls for the list when all start at once. No daemon runs here:
 //! the modules alone, on a clock of the experiment's own.
 
-use super::Setup;
+use super::ExperimentContext;
 use crate::report::{Claim, Report};
 use crate::senders::{Play, Second, list_calls};
 use serde_json::{Value, json};
@@ -31,7 +31,7 @@
     (delivered, refused, spread.sqrt() / mean)
 }
 
-pub async fn limit(setup: &Setup) -> Result<Report, String> {
+pub async fn limit(setup: &ExperimentContext) -> Result<Report, String> {
     let (seeds, sizes): (u64, &[u32]) = if setup.short { (1, &[100]) } else { (8, &[2, 10, 50, 100]) };
     let (mut claims, mut figures) = (Vec::new(), serde_json::Map::new());
     for &senders in sizes {
@@ -61,7 +61,7 @@
             }
         }
         figures.insert(format!("all_{senders}"), json!([all.0, all.1]));
-        setup.progress(&format!("{senders} senders"));
+        setup.log_progress(&format!("{senders} senders"));
     }
     let most = list_calls(100, true).into_iter().max().unwrap_or(u32::MAX);
     claims.push(Claim::at_most("list_calls", f64::from(most), MOST_ASKS, "a second"));
--- a/lab/src/experiments/idle.rs
+++ b/lab/src/experiments/idle.rs
@@ -1,12 +1,12 @@
 //! Many destinations of which few are in use.
 
-use super::Setup;
+use super::ExperimentContext;
 use crate::daemon::Daemon;
 use crate::report::{Claim, Report, quantile};
-use crate::world::clients::{self, Clients};
-use crate::world::discovery::{Discovery, line};
-use crate::world::partner::{Mode, Partner, Strength};
-use crate::world::{World, sleep};
+use crate::testbed::clients::{self, Clients};
+use crate::testbed::discovery::{Discovery, entry_json};
+use crate::testbed::partner::{Mode, Partner, Strength};
+use crate::testbed::{Runtime, sleep};
 use serde_json::{Value, json};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -28,7 +28,7 @@
     rounds: u64,
 }
 
-pub async fn run(setup: &Setup) -> Result<Report, String> {
+pub async fn run(setup: &ExperimentContext) -> Result<Report, String> {
     let sizes = if setup.short {
         Sizes { listed: 5_000, cpu: 5.0, rounds: 4 }
     } else {
@@ -42,15 +42,15 @@
 /// Lines of the list for these destinations.
 fn lines(partners: &[Rc<Partner>], from: u64, to: u64, state: &str) -> Vec<String> {
     let at = |d: u64| partners[(d % LISTENERS) as usize].address;
-    (from..to).map(|d| line(&format!("club-endpoint-{d:08}"), at(d), d, state, 50.0)).collect()
+    (from..to).map(|d| entry_json(&format!("club-endpoint-{d:08}"), at(d), d, state, 50.0)).collect()
 }
 
 async fn counter(d: &Daemon, name: &str) -> Option<f64> {
-    d.show("/counters").await?[name].as_f64()
+    d.get_json("/counters").await?[name].as_f64()
 }
 
 /// Waits until a daemon counts so many endpoints in its list. The milliseconds that it took.
-async fn lists(d: &Daemon, world: &World, n: u64) -> Result<f64, String> {
+async fn lists(d: &Daemon, world: &Runtime, n: u64) -> Result<f64, String> {
     let began = world.now();
     while counter(d, "listed").await != Some(n as f64) {
         if world.now() - began > 20.0 {
@@ -99,8 +99,8 @@
 }
 
 /// The list, what it costs to hold and to change, and a process with nothing to do.
-async fn many(setup: &Setup, sizes: &Sizes) -> Result<Vec<Claim>, String> {
-    let (world, n) = (&setup.world, sizes.listed);
+async fn many(setup: &ExperimentContext, sizes: &Sizes) -> Result<Vec<Claim>, String> {
+    let (world, n) = (&setup.runtime, sizes.listed);
     let strong = Strength { per_s: 1e6, service: 0.002, ..Strength::default() };
     let partners = (0..LISTENERS).map(|d| Partner::start(world, d, strong)).collect::<Result<Vec<_>, _>>()?;
     let few = lines(&partners, 1, 31, "Ready");
@@ -108,7 +108,15 @@
         let discovery = Discovery::start(world, &partners)?;
         discovery.publish(&few, None);
         let product = "[idle]\nrest_s = 5\n".to_owned();
-        let mut d = Daemon::new(name, &setup.daemon, &setup.out, discovery.address, Value::Null, product, 1)?;
+        let mut d = Daemon::new(
+            name,
+            &setup.daemon_program,
+            &setup.output_dir,
+            discovery.address,
+            Value::Null,
+            product,
+            1,
+        )?;
         d.start().await?;
         lists(&d, world, 30).await?;
         Ok::<_, String>((d, discovery))
@@ -118,27 +126,27 @@
     let used: Vec<_> = (1..=20).collect();
     let clients = Clients::start(world, 2, &used, LOAD, 7);
     let at = |i: usize, to: Option<SocketAddr>| clients.at[i].set(to);
-    at(0, big.http);
-    at(1, small.http);
+    at(0, big.client_address);
+    at(1, small.client_address);
     sleep(2.0).await;
 
-    let pinger = Pinger::start(big.http.ok_or("no daemon")?);
+    let pinger = Pinger::start(big.client_address.ok_or("no daemon")?);
     sleep(1.0).await;
     let all = lines(&partners, 1, n + 1, "Ready");
     discovery.publish(&all, None);
     let load = lists(&big, world, n).await?;
-    setup.progress(&format!("a list of {n} took {load:.0} ms"));
+    setup.log_progress(&format!("a list of {n} took {load:.0} ms"));
     sleep(0.5).await;
     let half = n / 2;
     discovery.publish(&all[..half as usize], Some(&lines(&partners, half + 1, n + 1, "Gone")));
     let change = lists(&big, world, half).await?;
-    setup.progress(&format!("{half} that went in one change took {change:.0} ms"));
+    setup.log_progress(&format!("{half} that went in one change took {change:.0} ms"));
     sleep(0.5).await;
     discovery.publish(&all, None);
     lists(&big, world, n).await?;
     let pings = pinger.end()?;
 
-    let cost = |d: &Daemon| d.cost().ok_or("no daemon");
+    let cost = |d: &Daemon| d.memory_and_cpu().ok_or("no daemon");
     let (mut cpu, mut taken) = ([0.0; 2], [0.0; 2]);
     for (i, d) in [&big, &small].into_iter().enumerate() {
         (cpu[i], taken[i]) = (cost(d)?.1, counter(d, "taken").await.ok_or("no counters")?);
@@ -149,16 +157,19 @@
             (cost(d)?.1 - cpu[i], counter(d, "taken").await.ok_or("no counters")? - taken[i]);
     }
     let each = [cpu[0] / taken[0] * 1e6, cpu[1] / taken[1] * 1e6];
-    setup.progress(&format!("{:.0} us a message with {n} listed, {:.0} with 30", each[0], each[1]));
+    setup.log_progress(&format!("{:.0} us a message with {n} listed, {:.0} with 30", each[0], each[1]));
 
     // A hundred in use.
     let hundred = Clients::start(world, 1, &(1..=100).collect::<Vec<_>>(), LOAD, 8);
-    hundred.at[0].set(big.http);
+    hundred.at[0].set(big.client_address);
     at(0, None);
     sleep(4.0).await;
     let awake = counter(&big, "awake").await.ok_or("no counters")?;
     let rss = [cost(&big)?.0 as f64 / 1024.0, cost(&small)?.0 as f64 / 1024.0];
-    setup.progress(&format!("{:.1} MB with {n} listed and {awake} awake, {:.1} MB with 30", rss[0], rss[1]));
+    setup.log_progress(&format!(
+        "{:.1} MB with {n} listed and {awake} awake, {:.1} MB with 30",
+        rss[0], rss[1]
+    ));
 
     // Others take their place, and others again; of each list some are used.
     let mut soak = Vec::new();
@@ -170,7 +181,7 @@
         sleep(0.5).await;
         lists(&big, world, n).await?;
         for d in from..from + 500 {
-            let status = hand_in(big.http, d, d).await;
+            let status = hand_in(big.client_address, d, d).await;
             if status != 202 {
                 return Err(format!("a message for {d} was answered {status}"));
             }
@@ -178,7 +189,7 @@
         // Those of the round go to rest.
         sleep(8.0).await;
         soak.push(cost(&big)?.0 as f64 / 1024.0);
-        setup.progress(&format!("{:.1} MB after {} destinations", soak[soak.len() - 1], round * n));
+        setup.log_progress(&format!("{:.1} MB after {} destinations", soak[soak.len() - 1], round * n));
     }
     // The table has its size once one list has taken another's place a few times.
     let growth = soak[soak.len() - 1] - soak[2];
@@ -189,8 +200,11 @@
     let (began, mut woken) = (world.now(), 0);
     while world.now() - began < 4.0 && woken < n / 5 {
         let d = 1_000_000 * sizes.rounds + 1000 + woken;
-        let statuses =
-            futures_lite::future::zip(hand_in(big.http, d, d), hand_in(big.http, d + 1, d + 1)).await;
+        let statuses = futures_lite::future::zip(
+            hand_in(big.client_address, d, d),
+            hand_in(big.client_address, d + 1, d + 1),
+        )
+        .await;
         if statuses != (202, 202) {
             return Err(format!("messages for {d} and the next were answered {statuses:?}"));
         }
@@ -198,18 +212,21 @@
     }
     let after = (cost(&big)?.0, counter(&big, "awake").await.ok_or("no counters")?);
     let kb_each = (after.0 as f64 - before.0 as f64) / (after.1 - before.1);
-    setup.progress(&format!("{woken} woken in {:.1} s, {kb_each:.1} kB each", world.now() - began));
+    setup.log_progress(&format!("{woken} woken in {:.1} s, {kb_each:.1} kB each", world.now() - began));
 
     hundred.at[0].set(None);
     at(1, None);
     sleep(8.0).await;
-    let sleeps = [big.sleeps().ok_or("no daemon")?, small.sleeps().ok_or("no daemon")?];
+    let sleeps = [
+        big.voluntary_context_switches().ok_or("no daemon")?,
+        small.voluntary_context_switches().ok_or("no daemon")?,
+    ];
     let asked = discovery.asked.get();
     sleep(10.0).await;
-    let wakeups = (big.sleeps().ok_or("no daemon")? - sleeps[0]) as f64 / 10.0;
+    let wakeups = (big.voluntary_context_switches().ok_or("no daemon")? - sleeps[0]) as f64 / 10.0;
     let asked = (discovery.asked.get() - asked) as f64 / 10.0;
     let rested = counter(&big, "awake").await.ok_or("no counters")?;
-    setup.progress(&format!(
+    setup.log_progress(&format!(
         "{wakeups:.1} wake-ups a second with nothing to do, {asked:.1} questions for the list"
     ));
 
@@ -244,7 +261,7 @@
 }
 
 /// So many messages for a destination, evenly over a span.
-async fn clump(world: &World, at: Option<SocketAddr>, destination: u64, many: u64, over: f64) {
+async fn clump(world: &Runtime, at: Option<SocketAddr>, destination: u64, many: u64, over: f64) {
     let first = destination * 1_000_000 + (world.now() * 1000.0) as u64 * 1000;
     for n in first..first + many {
         world.spawn(async move {
@@ -262,8 +279,8 @@
 }
 
 /// A clump at opening, and a return from an outage, at a forwarder whose destinations rest and one that keeps its pace.
-async fn waking(setup: &Setup, claims: &mut Vec<Claim>) -> Result<Value, String> {
-    let world = &setup.world;
+async fn waking(setup: &ExperimentContext, claims: &mut Vec<Claim>) -> Result<Value, String> {
+    let world = &setup.runtime;
     let strength = Strength { per_s: 25.0, ..Strength::default() };
     let mut pairs = Vec::new();
     for (name, product) in [("rests", "[idle]\nrest_s = 2\n"), ("keeps", "")] {
@@ -272,17 +289,24 @@
         // Twice what it takes.
         let list: Vec<_> = partners
             .iter()
-            .map(|p| line(&format!("c-{}", p.destination), p.address, p.destination, "Ready", 50.0))
+            .map(|p| entry_json(&format!("c-{}", p.destination), p.address, p.destination, "Ready", 50.0))
             .collect();
         discovery.publish(&list, None);
-        let mut d =
-            Daemon::new(name, &setup.daemon, &setup.out, discovery.address, Value::Null, product.into(), 1)?;
+        let mut d = Daemon::new(
+            name,
+            &setup.daemon_program,
+            &setup.output_dir,
+            discovery.address,
+            Value::Null,
+            product.into(),
+            1,
+        )?;
         d.start().await?;
         lists(&d, world, 2).await?;
         pairs.push((d, partners, discovery));
     }
     let both = async |destination: u64, many: u64, over: f64| {
-        let way = |i: usize| clump(world, pairs[i].0.http, destination, many, over);
+        let way = |i: usize| clump(world, pairs[i].0.client_address, destination, many, over);
         futures_lite::future::zip(way(0), way(1)).await;
     };
     // In use for a while, as on any evening; the second fails in the end.
@@ -290,7 +314,7 @@
     both(1, 75, 5.0).await;
     pairs.iter().for_each(|(_, p, _)| p[1].mode.set(Mode::Hanging));
     both(1, 30, 2.0).await;
-    setup.progress("all are left alone for a while");
+    setup.log_progress("all are left alone for a while");
     sleep(8.0).await;
     // Something comes by, if only the list.
     sleep(6.0).await;
--- a/lab/src/experiments/lease.rs
+++ b/lab/src/experiments/lease.rs
@@ -1,12 +1,12 @@
 //! Leases under stalls, cuts, loss, delay, and voters that are killed and wiped: what the receivers of what is done under
 //! them saw. Nothing here believes a holder of itself but who holds what.
 
-use super::Setup;
+use super::ExperimentContext;
 use super::cluster::{Cluster, Plan};
 use crate::report::{Claim, Report, quantile};
-use crate::world::faults::Link;
-use crate::world::partner::{Mode, Strength};
-use crate::world::sleep;
+use crate::testbed::faults::Link;
+use crate::testbed::partner::{Mode, Strength};
+use crate::testbed::sleep;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -61,10 +61,10 @@
 }
 
 impl Watch {
-    async fn until(&mut self, c: &Cluster, setup: &Setup, until: f64) {
-        while setup.world.now() < until {
+    async fn until(&mut self, c: &Cluster, setup: &ExperimentContext, until: f64) {
+        while setup.runtime.now() < until {
             let leases = c.leases().await;
-            let now = setup.world.now();
+            let now = setup.runtime.now();
             for (kind, of, epoch, who, life) in leases {
                 let duty = (kind, of);
                 let whose = *self.whose.entry((duty.clone(), epoch)).or_insert((who, life));
@@ -120,7 +120,7 @@
                 seen = seen.max(h.epoch);
                 // Two leases of one duty that act at the same time.
                 let other =
-                    |o: &&crate::world::partner::Hit| o.probe && o.epoch != h.epoch && o.status != 409;
+                    |o: &&crate::testbed::partner::Hit| o.probe && o.epoch != h.epoch && o.status != 409;
                 let at_once =
                     hits[..i].iter().rev().take(64).filter(other).filter(|o| o.until > h.at).count();
                 self.overlaps += if h.status == 409 { 0 } else { at_once };
@@ -132,7 +132,7 @@
     fn peers(&mut self, c: &Cluster) {
         for d in &c.daemons {
             let mut seen: BTreeMap<String, u64> = BTreeMap::new();
-            for line in d.logged("duties: ") {
+            for line in d.log_lines_containing("duties: ") {
                 if line.contains("duties: a new life") {
                     seen.clear();
                 }
@@ -157,16 +157,16 @@
     }
 }
 
-pub async fn stall(setup: &Setup) -> Result<Report, String> {
+pub async fn stall(setup: &ExperimentContext) -> Result<Report, String> {
     let mut c = Cluster::start(setup, plan()).await?;
     c.partners.iter().for_each(|p| p.mode.set(Mode::Failing(0.15)));
     let took = c.settled(30.0).await.ok_or("the duties found no owners within 30 s")?;
-    setup.progress(&format!("each of 20 probes has one owner after {took:.1} s"));
+    setup.log_progress(&format!("each of 20 probes has one owner after {took:.1} s"));
     let mut w = Watch::default();
-    let now = || setup.world.now();
+    let now = || setup.runtime.now();
     let tell = |c: &Cluster, what: String| {
-        setup.progress(&what);
-        c.net.faults.note(setup.world.now(), what);
+        setup.log_progress(&what);
+        c.net.faults.note(setup.runtime.now(), what);
     };
     w.until(&c, setup, now() + 2.0).await;
     // The network of the leader's machine stands still, then its processor; both go on together.
@@ -176,10 +176,10 @@
         w.loses(now(), a);
         c.net.faults.freeze(a);
         w.until(&c, setup, now() + 0.35).await;
-        c.daemons[a].stop();
+        c.daemons[a].pause();
         tell(&c, format!("{} leads and is stalled for {leases} leases", c.daemons[a].name));
         w.until(&c, setup, now() + leases * LEASE).await;
-        c.daemons[a].go();
+        c.daemons[a].resume();
         let late = c.net.thaw(a).await;
         tell(&c, format!("{} goes on; {late} datagrams leave late", c.daemons[a].name));
         w.until(&c, setup, now() + 2.0).await;
@@ -215,7 +215,7 @@
         tell(&c, format!("{} is killed", c.daemons[voter].name));
         w.until(&c, setup, now() + 1.0).await;
         if voter == 1 {
-            c.daemons[voter].wipe()?;
+            c.daemons[voter].wipe_state()?;
             tell(&c, format!("the folder of {} is wiped", c.daemons[voter].name));
         }
         c.up(voter).await?;
@@ -231,7 +231,7 @@
     for (duty, at) in &w.held {
         w.unheld_ms = w.unheld_ms.max((ended - at) * 1000.0);
         if ended - at > LEASE {
-            setup.progress(&format!("{duty:?} was last seen held {:.1} s before the end", ended - at));
+            setup.log_progress(&format!("{duty:?} was last seen held {:.1} s before the end", ended - at));
         }
     }
     let mut stale = Stale::default();
--- a/lab/src/experiments/sizes.rs
+++ b/lab/src/experiments/list_size.rs
@@ -1,12 +1,12 @@
 //! What a longer list costs, listed alone and in use.
 
-use super::Setup;
+use super::ExperimentContext;
 use crate::daemon::Daemon;
 use crate::report::{Claim, Report};
-use crate::world::clients::hand_in;
-use crate::world::discovery::{Discovery, line};
-use crate::world::partner::{Partner, Strength};
-use crate::world::sleep;
+use crate::testbed::clients::hand_in;
+use crate::testbed::discovery::{Discovery, entry_json};
+use crate::testbed::partner::{Partner, Strength};
+use crate::testbed::sleep;
 use serde_json::{Value, json};
 
 /// Endpoints, each a destination of its own; the first is what the others are measured against.
@@ -14,29 +14,38 @@
 /// Listeners that all destinations share.
 const LISTENERS: u64 = 5;
 
-pub async fn run(setup: &Setup) -> Result<Report, String> {
-    let world = &setup.world;
+pub async fn run(setup: &ExperimentContext) -> Result<Report, String> {
+    let world = &setup.runtime;
     let strong = Strength { per_s: 1e6, service: 0.002, ..Strength::default() };
     let partners = (0..LISTENERS).map(|d| Partner::start(world, d, strong)).collect::<Result<Vec<_>, _>>()?;
     let (mut rows, mut unserved) = (Vec::new(), 0);
     for n in LISTED {
         let discovery = Discovery::start(world, &partners)?;
         let at = |d: u64| partners[(d % LISTENERS) as usize].address;
-        let all: Vec<_> = (1..=n).map(|d| line(&format!("e-{d:08}"), at(d), d, "Ready", 50.0)).collect();
+        let all: Vec<_> =
+            (1..=n).map(|d| entry_json(&format!("e-{d:08}"), at(d), d, "Ready", 50.0)).collect();
         discovery.publish(&all, None);
         let name = format!("listed-{n}");
         let product = "[log]\nlines_per_s = 50\n".to_owned();
-        let mut d =
-            Daemon::new(&name, &setup.daemon, &setup.out, discovery.address, Value::Null, product, 1)?;
+        let mut d = Daemon::new(
+            &name,
+            &setup.daemon_program,
+            &setup.output_dir,
+            discovery.address,
+            Value::Null,
+            product,
+            1,
+        )?;
         d.start().await?;
-        let counter = async |d: &Daemon, what: &str| d.show("/counters").await.and_then(|c| c[what].as_u64());
+        let counter =
+            async |d: &Daemon, what: &str| d.get_json("/counters").await.and_then(|c| c[what].as_u64());
         while counter(&d, "listed").await != Some(n) {
             sleep(0.02).await;
         }
         sleep(1.0).await;
-        let look = |d: &Daemon| Some((d.cost()?.0 as f64 / 1024.0, d.threads()?));
+        let look = |d: &Daemon| Some((d.memory_and_cpu()?.0 as f64 / 1024.0, d.thread_count()?));
         let (listed, threads) = look(&d).ok_or("no figures of the daemon")?;
-        let http = d.http.ok_or("no daemon")?;
+        let http = d.client_address.ok_or("no daemon")?;
         let mut taken = 0;
         for i in 1..=n {
             taken += u64::from(hand_in(http, &format!("{n:08x}{i:08x}"), i, 4.0).await == 202);
@@ -45,7 +54,7 @@
         let delivered = counter(&d, "delivered").await.unwrap_or_default();
         unserved += n - delivered.min(taken);
         let (used, threads_used) = look(&d).ok_or("no figures of the daemon")?;
-        setup.progress(&format!("{n}: {listed:.1} MB listed, {used:.1} MB used, {threads_used} threads"));
+        setup.log_progress(&format!("{n}: {listed:.1} MB listed, {used:.1} MB used, {threads_used} threads"));
         rows.push((n, listed, used, threads.max(threads_used)));
         d.kill();
     }
--- a/lab/src/experiments/scale.rs
+++ b/lab/src/experiments/scale.rs
@@ -1,7 +1,7 @@
 //! Hollow forwarders by the thousand on a virtual clock, after a few dozen real daemons have shown that a hollow one
 //! costs what a real one costs.
 
-use super::Setup;
+use super::ExperimentContext;
 use super::cluster::{Cluster, Plan};
 use crate::daemon::Daemon;
 use crate::report::{Claim, Report};
@@ -11,8 +11,8 @@
 use crate::scale::play::{CHANGES_PER_DAY, Outcome, Spans, links, play};
 use crate::scale::room::{Needs, check_room};
 use crate::scale::{listing, placement};
-use crate::world::partner::Strength;
-use crate::world::sleep;
+use crate::testbed::partner::Strength;
+use crate::testbed::sleep;
 use onyxrock::interface::Micros;
 use serde::Serialize;
 use serde_json::{Value, json};
@@ -77,7 +77,7 @@
 }
 
 /// Real daemons that share duties, beside some that do not: what control costs each.
-async fn real(setup: &Setup, form: &Form) -> Result<(Cost, f64), String> {
+async fn real(setup: &ExperimentContext, form: &Form) -> Result<(Cost, f64), String> {
     let strength = Strength { per_s: 60.0, ..Strength::default() };
     let plan = |label, daemons, off| Plan {
         label,
@@ -98,16 +98,16 @@
     let mut without = Cluster::start(setup, plan("o", WITHOUT_DUTIES, true)).await?;
     let (settle, span) = form.compared;
     sleep(settle).await;
-    let sleeps = |c: &Cluster| c.daemons.iter().filter_map(Daemon::sleeps).sum::<u64>();
+    let sleeps = |c: &Cluster| c.daemons.iter().filter_map(Daemon::voluntary_context_switches).sum::<u64>();
     let look = |c: &Cluster| (c.cost().0 / c.plan.daemons as f64, c.net.bytes.get(), sleeps(c));
-    let (before, before_without, at) = (look(&shared), look(&without), setup.world.now());
+    let (before, before_without, at) = (look(&shared), look(&without), setup.runtime.now());
     sleep(span).await;
     let (after, after_without) = (look(&shared), look(&without));
-    let took = setup.world.now() - at;
+    let took = setup.runtime.now() - at;
     shared.check()?;
     without.check()?;
     let idle = (after_without.0 - before_without.0) / took;
-    setup.progress(&format!("a daemon without duties uses {:.2} ms a second", idle * 1e3));
+    setup.log_progress(&format!("a daemon without duties uses {:.2} ms a second", idle * 1e3));
     let mb = shared.cost().1 as f64 / 1000.0 / form.daemons as f64;
     let control = (after.0 - before.0) - (after_without.0 - before_without.0);
     let sent = (after.1 - before.1) as f64 / form.daemons as f64;
@@ -117,7 +117,7 @@
 }
 
 /// Hollow forwarders of the same number, for the same time.
-fn hollow(setup: &Setup, form: &Form, unpaid: &Unpaid) -> Result<Cost, String> {
+fn hollow(setup: &ExperimentContext, form: &Form, unpaid: &Unpaid) -> Result<Cost, String> {
     let plan = HollowPlan {
         members: form.daemons as u16,
         voters: VOTERS,
@@ -208,7 +208,7 @@
     })
 }
 
-pub async fn run(setup: &Setup) -> Result<Report, String> {
+pub async fn run(setup: &ExperimentContext) -> Result<Report, String> {
     let form = if setup.short { SHORT } else { FULL };
     let largest = form.sizes.iter().copied().max().unwrap_or(0);
     let needs = Needs { forwarders: largest, daemons: form.daemons + WITHOUT_DUTIES, listed: form.listed };
@@ -216,9 +216,9 @@
     let unpaid = Unpaid::measure()?;
     let (real, real_mb) = real(setup, &form).await?;
     let hollow = hollow(setup, &form, &unpaid)?;
-    setup.progress(&format!("{} real daemons: {real:?}, hollow: {hollow:?}", form.daemons));
+    setup.log_progress(&format!("{} real daemons: {real:?}, hollow: {hollow:?}", form.daemons));
     let list = listing::hold(form.listed)?;
-    setup.progress(&format!("{} endpoints listed: {:.1} MB", form.listed, list.mb));
+    setup.log_progress(&format!("{} endpoints listed: {:.1} MB", form.listed, list.mb));
     let before = resident_bytes().ok_or("no figure of resident memory")?;
     let mut outcomes = Vec::new();
     for &members in form.sizes {
@@ -226,7 +226,7 @@
         let plan =
             HollowPlan { members, voters: VOTERS, lease: LEASE, listed: LISTED, seed: setup.seed, threads };
         let outcome = play(plan, &SPANS, &unpaid, before, |_| {})?;
-        setup.progress(&format!("{members} hollow forwarders: {:.1} s", outcome.wall_s));
+        setup.log_progress(&format!("{members} hollow forwarders: {:.1} s", outcome.wall_s));
         outcomes.push(outcome);
     }
     let worst = |name, bound, unit, of: &dyn Fn(&Outcome) -> f64| judge(name, bound, unit, &outcomes, of);
--- a/lab/src/experiments/slopes/mod.rs
+++ b/lab/src/experiments/slopes/mod.rs
@@ -12,7 +12,7 @@
 pub mod meter;
 mod wire;
 
-use super::Setup;
+use super::ExperimentContext;
 use crate::capacity::cost::{Cost, EXPERIMENT, Slope, Slopes, VERSION};
 use crate::capacity::fit::{POINTS_LEAST, Point, RESIDUAL_MOST, fit};
 use crate::capacity::size::{Size, TWO_YEARS};
@@ -86,7 +86,7 @@
 
 type Found = Result<Vec<(Cost, Vec<Point>)>, String>;
 
-pub async fn run(setup: &Setup) -> Result<Report, String> {
+pub async fn run(setup: &ExperimentContext) -> Result<Report, String> {
     let need = if setup.short { Need { memory_bytes: NEED.memory_bytes / 8, ..NEED } } else { NEED };
     Limits::of_machine()?.allow(need).map_err(|why| format!("slopes: {why}"))?;
     let plan = Plan::new(setup.short, setup.seed);
@@ -103,7 +103,7 @@
         ("watch", &|| listing::watch(&plan)),
         ("in use", &|| engine::active(&plan)),
         ("backlog", &|| engine::backlog_memory(&plan)),
-        ("log", &|| engine::backlog_disk(&plan, &setup.out)),
+        ("log", &|| engine::backlog_disk(&plan, &setup.output_dir)),
         ("leases", &|| {
             let found = [leases::holder(&plan)?, leases::voter(&plan)?, leases::wanted(&plan)?];
             Ok(found.into_iter().flatten().collect())
@@ -114,7 +114,7 @@
             match fit(points) {
                 Ok(fit) => {
                     let slope = Slope::new(cost, fit);
-                    setup.progress(&slope.line(cost));
+                    setup.log_progress(&slope.line(cost));
                     slopes.insert(cost, slope);
                 }
                 Err(why) => unfit.push(format!("{}: {why}", cost.name())),
--- a/lab/src/experiments/slopes/wire.rs
+++ b/lab/src/experiments/slopes/wire.rs
@@ -1,6 +1,6 @@
 //! Datagrams over a loopback socket, and the entries of a list, as they are on the wire.
 
-use crate::world::discovery::line;
+use crate::testbed::discovery::entry_json;
 use onyxrock::core::NameIndex;
 use onyxrock::interface::EntryState;
 use onyxrock_daemon::list::roster_endpoint;
@@ -86,7 +86,7 @@
 
 /// The entry of a destination in a list, as discovery tells it.
 pub fn entry_text(destination: u64, state: &str, weight: f64) -> String {
-    line(&name_of(destination), address_of(destination), destination, state, weight)
+    entry_json(&name_of(destination), address_of(destination), destination, state, weight)
 }
 
 /// A list, or the changes since an earlier one, as discovery tells it.
--- a/lab/src/experiments/soak.rs
+++ b/lab/src/experiments/soak.rs
@@ -1,6 +1,6 @@
 //! The soak test as an experiment: no rule is broken, whatever overlaps.
 
-use super::Setup;
+use super::ExperimentContext;
 use crate::report::{Claim, Report};
 use crate::soak::judge::RULES;
 use crate::soak::{Soak, play};
@@ -14,12 +14,12 @@
 const LATENESS_MOST_S: f64 = 0.25;
 
 /// The long and the short form.
-fn size(setup: &Setup) -> Soak {
+fn size(setup: &ExperimentContext) -> Soak {
     let (daemons, seconds) = if setup.short { (8, 12.0) } else { (24, 30.0) };
     Soak { daemons, destinations: 6, servers_each: 2, rate: 6.0, seconds, seed: setup.seed }
 }
 
-pub async fn run(setup: &Setup) -> Result<Report, String> {
+pub async fn run(setup: &ExperimentContext) -> Result<Report, String> {
     let outcome = play(setup, size(setup)).await?;
     let mut claims: Vec<_> = RULES
         .iter()
--- a/lab/src/http.rs
+++ b/lab/src/http.rs
@@ -15,11 +15,11 @@
     pub id: String,
     pub body: Vec<u8>,
     /// When its first byte came.
-    pub began: Instant,
+    pub first_byte_at: Instant,
 }
 
 /// A connection that requests come over, one at a time.
-pub struct Server {
+pub struct ServerConnection {
     pub stream: Async<TcpStream>,
     bytes: Vec<u8>,
     /// When the first of these bytes came.
@@ -30,14 +30,14 @@
     io::Error::new(io::ErrorKind::InvalidData, what)
 }
 
-impl Server {
-    pub fn new(stream: Async<TcpStream>) -> Server {
+impl ServerConnection {
+    pub fn new(stream: Async<TcpStream>) -> ServerConnection {
         let _ = stream.get_ref().set_nodelay(true);
-        Server { stream, bytes: Vec::new(), began: None }
+        ServerConnection { stream, bytes: Vec::new(), began: None }
     }
 
     /// The next request; none when the other side has closed.
-    pub async fn next(&mut self) -> io::Result<Option<Request>> {
+    pub async fn next_request(&mut self) -> io::Result<Option<Request>> {
         loop {
             if let Some((request, n)) = self.parse()? {
                 self.bytes.drain(..n);
@@ -76,25 +76,25 @@
             epoch,
             id: header("x-request-id").unwrap_or_default(),
             body: self.bytes[at..at + length].to_vec(),
-            began: self.began.unwrap_or_else(Instant::now),
+            first_byte_at: self.began.unwrap_or_else(Instant::now),
         };
         Ok(Some((request, at + length)))
     }
 
-    pub async fn answer(&mut self, status: u16, headers: &str, body: &str) -> io::Result<()> {
+    pub async fn respond(&mut self, status: u16, headers: &str, body: &str) -> io::Result<()> {
         let text = format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len());
         self.stream.write_all(text.as_bytes()).await
     }
 
     /// Waits until the other side closes. What it sends meanwhile is thrown away.
-    pub async fn closed(&mut self) {
+    pub async fn wait_for_close(&mut self) {
         let mut some = [0; 1024];
         while self.stream.read(&mut some).await.is_ok_and(|n| n > 0) {}
     }
 }
 
 /// One request over a connection of its own: status and body. Nothing where there is no answer in time.
-pub async fn ask(to: SocketAddr, request: &str, within: Duration) -> Option<(u16, String)> {
+pub async fn send_request(to: SocketAddr, request: &str, within: Duration) -> Option<(u16, String)> {
     let call = async {
         let mut stream = Async::<TcpStream>::connect(to).await.ok()?;
         stream.write_all(request.as_bytes()).await.ok()?;
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -23,4 +23,4 @@
 pub mod scale;
 pub mod senders;
 pub mod soak;
-pub mod world;
+pub mod testbed;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,8 +1,8 @@
 //! The laboratory's command line.
 
 use lexopt::prelude::*;
-use onyxrock_lab::experiments::{ALL, Setup, run};
-use onyxrock_lab::{capacity, daemon, world::World};
+use onyxrock_lab::experiments::{ALL, ExperimentContext, run};
+use onyxrock_lab::{capacity, daemon, testbed::Runtime};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -61,11 +61,17 @@
     match words.as_slice() {
         ["run", name] => {
             let out = line.out.ok_or("run: --out DIR is missing")?;
-            let daemon = line.daemon.map_or_else(daemon::beside, Ok)?;
-            let setup = Setup { out, daemon, short: line.short, seed: line.seed, world: World::default() };
+            let daemon = line.daemon.map_or_else(daemon::default_program, Ok)?;
+            let setup = ExperimentContext {
+                output_dir: out,
+                daemon_program: daemon,
+                short: line.short,
+                seed: line.seed,
+                runtime: Runtime::default(),
+            };
             let report = run(name, &setup)?;
             print!("{}", report.table());
-            Ok(report.held())
+            Ok(report.all_claims_hold())
         }
         ["list"] => {
             ALL.iter().for_each(|e| println!("{:<16} {}", e.name, e.about));
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -40,7 +40,7 @@
 }
 
 impl Report {
-    pub fn held(&self) -> bool {
+    pub fn all_claims_hold(&self) -> bool {
         !self.claims.is_empty() && self.claims.iter().all(|c| c.held)
     }
 
@@ -108,7 +108,7 @@
             !Claim::at_most("x", f64::NAN, 1.0, "").held && !Claim::at_least("x", f64::NAN, 1.0, "").held
         );
         let none = Report { experiment: "x".into(), short: false, claims: vec![], figures: Value::Null };
-        assert!(!none.held());
+        assert!(!none.all_claims_hold());
     }
 
     #[test]
--- a/lab/src/scale/discovery.rs
+++ b/lab/src/scale/discovery.rs
@@ -1,6 +1,6 @@
 //! The discovery stand-in: lists endpoints by version, and answers watches.
 
-use crate::world::discovery::line;
+use crate::testbed::discovery::entry_json;
 use onyxrock::interface::Micros;
 use onyxrock_duties::Member;
 use std::collections::BTreeMap;
@@ -87,7 +87,7 @@
     let host = (destination / PORTS) as u32;
     let address = Ipv4Addr::from(u32::from(Ipv4Addr::new(10, 0, 0, 0)) | (host & 0x00ff_ffff));
     let at = SocketAddr::from((address, PORT + (destination % PORTS) as u16));
-    line(name, at, destination, "Ready", WEIGHT)
+    entry_json(name, at, destination, "Ready", WEIGHT)
 }
 
 /// The endpoint that a version added: its name and its destination.
--- a/lab/src/scale/links.rs
+++ b/lab/src/scale/links.rs
@@ -1,7 +1,7 @@
 //! The network between forwarders and discovery, and its faults.
 
 use super::placement::{DISCOVERY, Region, Zone, zone_of};
-use crate::world::faults::Fault;
+use crate::testbed::faults::FaultRecord;
 use onyxrock::interface::Micros;
 use onyxrock_duties::Member;
 use std::collections::BTreeSet;
@@ -40,7 +40,7 @@
     near: bool,
     partitioned: BTreeSet<Region>,
     unreached: BTreeSet<Member>,
-    record: Vec<Fault>,
+    record: Vec<FaultRecord>,
     lost: u64,
 }
 
@@ -94,12 +94,12 @@
 
     /// Writes a fault down.
     pub fn note(&mut self, now: Micros, what: impl Into<String>) {
-        self.record.push(Fault { at_s: now.0 as f64 / 1e6, what: what.into() });
+        self.record.push(FaultRecord { at_s: now.0 as f64 / 1e6, what: what.into() });
     }
 
     /// The faults so far.
     #[must_use]
-    pub fn record(&self) -> &[Fault] {
+    pub fn record(&self) -> &[FaultRecord] {
         &self.record
     }
 
--- a/lab/src/scale/play.rs
+++ b/lab/src/scale/play.rs
@@ -4,7 +4,7 @@
 use super::links::{BETWEEN_REGIONS, WITHIN_REGION, WITHIN_ZONE};
 use super::meter::{Reading, Unpaid, Usage, resident_bytes};
 use super::placement::{Region, Zone};
-use crate::world::faults::Fault;
+use crate::testbed::faults::FaultRecord;
 use onyxrock::interface::Micros;
 use onyxrock_duties::Member;
 use serde::Serialize;
@@ -90,7 +90,7 @@
     pub virtual_s: f64,
     pub wall_s: f64,
     /// What was done to it.
-    pub faults: Vec<Fault>,
+    pub faults: Vec<FaultRecord>,
 }
 
 /// The links, for a report.
--- a/lab/src/soak/clients.rs
+++ b/lab/src/soak/clients.rs
@@ -1,7 +1,7 @@
 //! Clients of one daemon: load that does not wait for answers, kept connections, clients that leave, and bad ones.
 
 use super::ledger::{Class, Heard, Ledger, Message, id_of};
-use crate::world::{World, sleep};
+use crate::testbed::{Runtime, sleep};
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use rand::rngs::StdRng;
@@ -41,14 +41,14 @@
     /// Bad clients that had neither an error nor a close in time.
     pub bad_unanswered: Cell<u64>,
     rng: RefCell<StdRng>,
-    world: World,
+    world: Runtime,
     ledger: Ledger,
 }
 
 impl Clients {
     /// `rate` messages a second in the mean.
     pub fn start(
-        world: &World, ledger: &Ledger, daemon: usize, destinations: u64, rate: f64, seed: u64,
+        world: &Runtime, ledger: &Ledger, daemon: usize, destinations: u64, rate: f64, seed: u64,
     ) -> Rc<Clients> {
         let clients = Rc::new(Clients {
             daemon,
--- a/lab/src/soak/discovery.rs
+++ b/lab/src/soak/discovery.rs
@@ -3,8 +3,8 @@
 
 use super::ledger::{Drained, Ledger};
 use super::server::{Server, reset};
-use crate::http::{Request, Server as Connection};
-use crate::world::{World, sleep};
+use crate::http::{Request, ServerConnection as Connection};
+use crate::testbed::{Runtime, sleep};
 use async_io::Async;
 use futures_lite::future;
 use rand::rngs::StdRng;
@@ -70,7 +70,7 @@
     refused: RefCell<BTreeMap<usize, u32>>,
     /// The whole list as each daemon was last told it.
     last_told: RefCell<BTreeMap<usize, Value>>,
-    world: World,
+    world: Runtime,
     ledger: Ledger,
 }
 
@@ -81,7 +81,7 @@
 }
 
 impl Discovery {
-    pub fn new(world: &World, ledger: &Ledger, servers: &[Rc<Server>], seed: u64) -> Rc<Discovery> {
+    pub fn new(world: &Runtime, ledger: &Ledger, servers: &[Rc<Server>], seed: u64) -> Rc<Discovery> {
         let entry = |server: &Rc<Server>| Entry {
             server: server.clone(),
             name: server.name.clone(),
@@ -178,10 +178,10 @@
     }
 
     async fn serve(self: Rc<Discovery>, daemon: usize, open: Rc<Cell<bool>>, mut connection: Connection) {
-        while let Ok(Some(request)) = connection.next().await {
+        while let Ok(Some(request)) = connection.next_request().await {
             let lasts = if request.method == "POST" {
                 self.notices(&request);
-                connection.answer(204, "", "").await.is_ok()
+                connection.respond(204, "", "").await.is_ok()
             } else {
                 self.call(daemon, &open, &mut connection, &request).await
             };
@@ -227,17 +227,17 @@
         if let Some(mode) = self.hits(daemon) {
             self.ledger.met(mode.name());
             match mode {
-                Mode::Crowded(_) => return connection.answer(503, "", "").await.is_ok(),
+                Mode::Crowded(_) => return connection.respond(503, "", "").await.is_ok(),
                 Mode::Slow(_) => {
                     sleep(QUEUE_S).await;
-                    return connection.answer(503, "", "").await.is_ok();
+                    return connection.respond(503, "", "").await.is_ok();
                 }
                 Mode::Silent => {
-                    connection.closed().await;
+                    connection.wait_for_close().await;
                     return false;
                 }
                 Mode::Spoilt(_) => {
-                    let _ = connection.answer(200, "", "{\"generation\": no").await;
+                    let _ = connection.respond(200, "", "{\"generation\": no").await;
                     return false;
                 }
                 Mode::Well | Mode::Down => {
@@ -259,7 +259,7 @@
             };
             // Nothing counts as told to one who has left.
             let left = future::or(looks, async {
-                connection.closed().await;
+                connection.wait_for_close().await;
                 true
             });
             if left.await {
@@ -275,14 +275,14 @@
                 // A watch that falls silent stays so.
                 Mode::Silent => {
                     self.ledger.met(Mode::Silent.name());
-                    connection.closed().await;
+                    connection.wait_for_close().await;
                     return false;
                 }
                 _ => {}
             }
         }
         let (generation, body) = (self.generation.get(), self.list(since).to_string());
-        let written = connection.answer(200, "", &body).await.is_ok();
+        let written = connection.respond(200, "", &body).await.is_ok();
         let now = self.world.now();
         self.ledger.with(|seen| seen.told.push((now, daemon, generation)));
         self.last_told.borrow_mut().insert(daemon, self.list(None));
--- a/lab/src/soak/operators.rs
+++ b/lab/src/soak/operators.rs
@@ -3,8 +3,8 @@
 use super::ledger::Maintenance;
 use super::run::Run;
 use super::server;
-use crate::daemon::{Which, call_operator};
-use crate::world::sleep;
+use crate::daemon::{ProcessChoice, send_operator_command};
+use crate::testbed::sleep;
 use async_io::Async;
 use futures_lite::AsyncWriteExt;
 use std::net::TcpStream;
@@ -65,11 +65,13 @@
 
     /// One call, of either process where there are two. Whether it was answered; another answer than this is noted.
     async fn operators_say(&self, i: usize, line: &str, wanted: &str) -> bool {
-        let addresses = self.with(i, |d| [d.operators_at(Which::Old), d.operators_at(Which::Newest)]);
+        let addresses = self.with(i, |d| {
+            [d.operator_address(ProcessChoice::Previous), d.operator_address(ProcessChoice::Newest)]
+        });
         let Some(at) = addresses.and_then(|[old, newest]| old.or(newest)) else { return false };
-        let Some(answer) = call_operator(at, line).await else {
+        let Some(answer) = send_operator_command(at, line).await else {
             // One that has ended meanwhile owes nothing.
-            let lives = self.with(i, |d| d.operators_at(Which::Newest) == Some(at)) == Some(true);
+            let lives = self.with(i, |d| d.operator_address(ProcessChoice::Newest) == Some(at)) == Some(true);
             if lives && !self.nodes[i].changing.get() {
                 self.wrong(format!("n{i}: {line}: no answer in time"));
             }
@@ -82,7 +84,7 @@
     }
 
     async fn half_a_call(&self, i: usize) {
-        if let Some(at) = self.with(i, |d| d.operators_at(Which::Newest)).flatten() {
+        if let Some(at) = self.with(i, |d| d.operator_address(ProcessChoice::Newest)).flatten() {
             self.world.spawn(async move {
                 let Ok(mut stream) = Async::<TcpStream>::connect(at).await else { return };
                 let _ = stream.write_all(b"maint-o").await;
--- a/lab/src/soak/processes.rs
+++ b/lab/src/soak/processes.rs
@@ -3,8 +3,8 @@
 use super::faults::UpgradeEnds;
 use super::ledger::Upgrade;
 use super::run::{FRONT_S, KILL_AFTER_S, LOOK_S, Run};
-use crate::daemon::{Daemon, Which, call_operator};
-use crate::world::sleep;
+use crate::daemon::{Daemon, ProcessChoice, send_operator_command};
+use crate::testbed::sleep;
 
 /// A second process has to be ready within this.
 const READY_WITHIN_S: f64 = 6.0;
@@ -51,14 +51,14 @@
             for _ in 1..signals {
                 sleep(SIGNAL_EVERY_S).await;
                 self.with(i, |d| {
-                    d.hang_up();
+                    d.send_sighup();
                     d.terminate();
                 });
             }
             sleep(signalled + FRONT_S - self.world.now()).await;
             let clients = &self.nodes[i].clients;
             clients.ending.set(clients.at.take());
-            self.wait_for_end(i, signalled + KILL_AFTER_S, Daemon::has_ended, Daemon::kill).await;
+            self.wait_for_end(i, signalled + KILL_AFTER_S, Daemon::has_exited, Daemon::kill).await;
             clients.ending.set(None);
             self.comes_back(i, restart).await;
         }
@@ -103,17 +103,17 @@
             seen.upgrades.len() - 1
         });
         if let Some(known) = self.discovery.known_to(i) {
-            daemon.set_known(known);
+            daemon.set_cached_list(known);
         }
-        let started = daemon.start_beside().await;
-        let operators = daemon.operators_at(Which::Newest);
+        let started = daemon.start_sibling().await;
+        let operators = daemon.operator_address(ProcessChoice::Newest);
         self.nodes[i].daemon.replace(Some(daemon));
         if let Err(e) = started {
             self.crashes.borrow_mut().push(format!("n{i} does not start beside itself: {e}"));
             return;
         }
         if ends == UpgradeEnds::NewKilled {
-            self.with(i, Daemon::give_up_newest);
+            self.with(i, Daemon::kill_newest);
             self.killed(number);
             return;
         }
@@ -128,14 +128,14 @@
         self.ledger.with(|seen| seen.upgrades[number].ready = Some(ready));
         if ends == UpgradeEnds::OldKilled {
             self.killed(number);
-            self.with(i, Daemon::kill_old);
+            self.with(i, Daemon::kill_previous);
             return;
         }
-        if self.with(i, Daemon::old_has_ended) == Some(true) {
+        if self.with(i, Daemon::previous_has_exited) == Some(true) {
             self.crashes.borrow_mut().push(format!("n{i}: its old process ended before it was told to"));
         }
-        self.with(i, |d| d.terminate_old());
-        self.wait_for_end(i, ready + KILL_AFTER_S, Daemon::old_has_ended, Daemon::kill_old).await;
+        self.with(i, |d| d.terminate_previous());
+        self.wait_for_end(i, ready + KILL_AFTER_S, Daemon::previous_has_exited, Daemon::kill_previous).await;
     }
 
     fn killed(&self, upgrade: usize) {
@@ -145,7 +145,7 @@
 
     pub(super) async fn hang_up(&self, i: usize, count: u32) {
         for _ in 0..count {
-            if self.with(i, |d| d.hang_up()).is_none() {
+            if self.with(i, |d| d.send_sighup()).is_none() {
                 return;
             }
             self.ledger.met("signals_in_series");
@@ -156,5 +156,5 @@
 
 async fn says_ready(operators: Option<std::net::SocketAddr>) -> bool {
     let Some(at) = operators else { return false };
-    call_operator(at, "status").await.is_some_and(|answer| answer.starts_with("200"))
+    send_operator_command(at, "status").await.is_some_and(|answer| answer.starts_with("200"))
 }
--- a/lab/src/soak/run.rs
+++ b/lab/src/soak/run.rs
@@ -8,9 +8,9 @@
 use super::server::Server;
 use super::settings::{WINDOW_S, settings};
 use crate::daemon::{Daemon, Preload};
-use crate::experiments::Setup;
-use crate::http::ask;
-use crate::world::{World, sleep, watch_lateness};
+use crate::experiments::ExperimentContext;
+use crate::http::send_request;
+use crate::testbed::{Runtime, monitor_lateness, sleep};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -64,7 +64,7 @@
 }
 
 pub(super) struct Run {
-    pub(super) world: World,
+    pub(super) world: Runtime,
     pub(super) ledger: Ledger,
     pub(super) nodes: Vec<Rc<Node>>,
     pub(super) servers: RefCell<Vec<Rc<Server>>>,
@@ -74,10 +74,10 @@
 }
 
 /// Plays one run with real daemons.
-pub async fn play(setup: &Setup, soak: Soak) -> Result<Outcome, String> {
+pub async fn play(setup: &ExperimentContext, soak: Soak) -> Result<Outcome, String> {
     let run = Rc::new(Run::start(setup, &soak).await?);
     let lateness = Rc::new(Cell::new(0.0f64));
-    run.world.spawn(watch_lateness(run.world.clone(), lateness.clone()));
+    run.world.spawn(monitor_lateness(run.world.clone(), lateness.clone()));
     let servers = run.servers.borrow().len();
     let plan = draw(Extent { daemons: soak.daemons, servers, seconds: soak.seconds }, soak.seed);
     let begin = run.world.now();
@@ -94,8 +94,8 @@
 }
 
 impl Run {
-    async fn start(setup: &Setup, soak: &Soak) -> Result<Run, String> {
-        let (world, ledger) = (setup.world.clone(), Ledger::default());
+    async fn start(setup: &ExperimentContext, soak: &Soak) -> Result<Run, String> {
+        let (world, ledger) = (setup.runtime.clone(), Ledger::default());
         let mut servers = Vec::new();
         for destination in 1..=soak.destinations {
             for i in 0..soak.servers_each {
@@ -109,16 +109,16 @@
             let (name, known) = (format!("n{i}"), discovery.list(None));
             let mut daemon = Daemon::new(
                 &name,
-                &setup.daemon,
-                &setup.out,
+                &setup.daemon_program,
+                &setup.output_dir,
                 address.at,
                 known,
                 String::new(),
                 soak.daemons,
             )?;
             daemon.settings = settings(soak.daemons, i);
-            daemon.with_operators = true;
-            daemon.preload = Some(Preload::beside(setup.out.join(&name).join("faults"))?);
+            daemon.operators_enabled = true;
+            daemon.preload = Some(Preload::with_plan(setup.output_dir.join(&name).join("faults"))?);
             let seed = soak.seed.wrapping_mul(1000).wrapping_add(i as u64);
             let clients = Clients::start(&world, &ledger, i, soak.destinations, soak.rate, seed);
             let (daemon, address) = (RefCell::new(Some(daemon)), RefCell::new(address));
@@ -144,15 +144,15 @@
         let node = &self.nodes[i];
         let mut daemon = node.daemon.borrow_mut().take().ok_or("it is being started already")?;
         if let Some(known) = self.discovery.known_to(i) {
-            daemon.set_known(known);
+            daemon.set_cached_list(known);
         }
         let started = daemon.start().await;
-        let http = daemon.http;
+        let http = daemon.client_address;
         node.daemon.replace(Some(daemon));
         started?;
         let at = http.ok_or("it does not listen")?;
         let request = "GET /ready HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n";
-        while ask(at, request, Duration::from_millis(500)).await.map(|a| a.0) != Some(200) {
+        while send_request(at, request, Duration::from_millis(500)).await.map(|a| a.0) != Some(200) {
             sleep(LOOK_S).await;
         }
         node.clients.at.set(http);
@@ -176,7 +176,7 @@
             Fault::Stall { daemon } => self.stall(daemon, planned.lasts).await,
             Fault::Reloads { daemon, count } => self.reload(daemon, count).await,
             Fault::BrokenReload { daemon } => {
-                let done = self.with(daemon, |d| d.reload_broken().is_ok());
+                let done = self.with(daemon, |d| d.reload_invalid_config().is_ok());
                 if done == Some(true) {
                     self.ledger.met("broken_reload");
                 }
@@ -241,7 +241,7 @@
             self.look(i);
             // Taken out, for the question takes its time.
             let Some(daemon) = node.daemon.borrow_mut().take() else { continue };
-            let counters = daemon.show("/counters").await.unwrap_or_default();
+            let counters = daemon.get_json("/counters").await.unwrap_or_default();
             for (name, n) in counters.as_object().into_iter().flatten() {
                 if name.starts_with("violations_") {
                     *counted.entry(name.clone()).or_default() += n.as_u64().unwrap_or(0);
@@ -249,8 +249,12 @@
             }
             let unanswered = counters["list_unanswered_most_ms"].as_u64().unwrap_or(0);
             list_unanswered_most_ms = list_unanswered_most_ms.max(unanswered);
-            logged.extend(daemon.logged("violation:").into_iter().map(|line| format!("n{i}: {line}")));
-            logged.extend(daemon.logged("panicked").into_iter().map(|line| format!("n{i}: {line}")));
+            logged.extend(
+                daemon.log_lines_containing("violation:").into_iter().map(|line| format!("n{i}: {line}")),
+            );
+            logged.extend(
+                daemon.log_lines_containing("panicked").into_iter().map(|line| format!("n{i}: {line}")),
+            );
             node.daemon.replace(Some(daemon));
         }
         let terms = Terms { window_s: WINDOW_S, lateness_s };
--- a/lab/src/soak/server.rs
+++ b/lab/src/soak/server.rs
@@ -1,8 +1,8 @@
 //! A server: takes calls with messages, and fails in the ways that the protocol knows.
 
 use super::ledger::{Call, Ledger, Wait, daemon_of};
-use crate::http::{Request, Server as Connection};
-use crate::world::{World, sleep};
+use crate::http::{Request, ServerConnection as Connection};
+use crate::testbed::{Runtime, sleep};
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use rustix::net::sockopt::set_socket_linger;
@@ -65,12 +65,14 @@
     pub destination: u64,
     pub address: SocketAddr,
     pub mode: Cell<Mode>,
-    world: World,
+    world: Runtime,
     ledger: Ledger,
 }
 
 impl Server {
-    pub fn start(world: &World, ledger: &Ledger, name: &str, destination: u64) -> Result<Rc<Server>, String> {
+    pub fn start(
+        world: &Runtime, ledger: &Ledger, name: &str, destination: u64,
+    ) -> Result<Rc<Server>, String> {
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).map_err(|e| e.to_string())?;
         let address = listener.get_ref().local_addr().map_err(|e| e.to_string())?;
         let (name, mode) = (name.to_owned(), Cell::new(Mode::Well));
@@ -107,7 +109,7 @@
                 }
                 _ => {}
             }
-            let request = async { connection.next().await.ok().flatten() };
+            let request = async { connection.next_request().await.ok().flatten() };
             let idle = async {
                 sleep(IDLE_S).await;
                 None
@@ -127,7 +129,7 @@
         let mode = self.mode.get();
         self.ledger.met(mode.name());
         let turned_away = matches!(mode, Mode::Full(_) | Mode::Shut);
-        let began = self.world.now() - request.began.elapsed().as_secs_f64();
+        let began = self.world.now() - request.first_byte_at.elapsed().as_secs_f64();
         let daemon = daemon_of(&request.id).unwrap_or(usize::MAX);
         let name = self.name.clone();
         let call = Call {
@@ -162,7 +164,7 @@
         };
         // Whoever gives a call up closes its connection.
         let given_up = future::or(works, async {
-            connection.closed().await;
+            connection.wait_for_close().await;
             true
         });
         if given_up.await {
@@ -178,15 +180,15 @@
                 let (server, destination, until) = (name.to_owned(), self.destination, told + wait);
                 let wait = Wait { server, destination, daemon, told, until };
                 self.ledger.with(|seen| seen.waits.push(wait));
-                return (Some(429), connection.answer(429, &headers, "").await.is_ok());
+                return (Some(429), connection.respond(429, &headers, "").await.is_ok());
             }
             Mode::Spoilt => {
                 let _ = connection.stream.write_all(b"\x00\x01 this is no answer\r\n\r\n").await;
-                connection.closed().await;
+                connection.wait_for_close().await;
                 return (None, false);
             }
             Mode::Hanging | Mode::Silent => {
-                connection.closed().await;
+                connection.wait_for_close().await;
                 return (None, false);
             }
             Mode::ResetAfter | Mode::ResetBefore | Mode::Refusing => {
@@ -194,7 +196,7 @@
                 return (None, false);
             }
         };
-        (Some(status), connection.answer(status, "", "").await.is_ok())
+        (Some(status), connection.respond(status, "", "").await.is_ok())
     }
 }
 
--- a/lab/src/soak/surroundings.rs
+++ b/lab/src/soak/surroundings.rs
@@ -5,7 +5,7 @@
 use super::run::{LOOK_S, Run};
 use super::server::{self, Server};
 use super::settings::with_added_class;
-use crate::world::sleep;
+use crate::testbed::sleep;
 
 /// New settings bind so long after their signal.
 const SETTINGS_BIND_S: f64 = 1.2;
@@ -17,11 +17,11 @@
 
 impl Run {
     pub(super) async fn stall(&self, i: usize, lasts: f64) {
-        if self.with(i, |d| d.stop()).is_some() {
+        if self.with(i, |d| d.pause()).is_some() {
             self.ledger.met("daemon_stalled");
             sleep(lasts).await;
             if let Some(daemon) = self.nodes[i].daemon.borrow_mut().as_mut() {
-                daemon.go();
+                daemon.resume();
             }
         }
     }
@@ -31,7 +31,7 @@
             self.ledger.met("no_descriptors");
             sleep(lasts).await;
             if let Some(daemon) = self.nodes[i].daemon.borrow().as_ref() {
-                daemon.free_descriptors();
+                daemon.restore_descriptor_limit();
             }
         }
     }
@@ -39,13 +39,13 @@
     pub(super) async fn trouble_disk(&self, i: usize, fault: DiskFault, lasts: f64) {
         let preload = self.with(i, |d| d.preload.clone()).flatten();
         let Some(preload) = preload else { return };
-        let met = |what| preload.hits(what);
+        let met = |what| preload.hit_count(what);
         let before = met("write") + met("short");
-        if preload.write(fault.plan()).is_err() {
+        if preload.write_plan(fault.plan()).is_err() {
             return;
         }
         sleep(lasts).await;
-        let _ = preload.write("");
+        let _ = preload.write_plan("");
         if met("write") + met("short") > before {
             self.ledger.met(fault.name());
         }
@@ -64,7 +64,7 @@
         for _ in 0..count {
             let Ok(new) = self.discovery.open(i) else { return };
             let at = new.at;
-            if self.with(i, |d| d.reload(at).is_ok()) != Some(true) {
+            if self.with(i, |d| d.reload_with_discovery(at).is_ok()) != Some(true) {
                 return;
             }
             self.ledger.met("discovery_moved");
@@ -108,7 +108,7 @@
         while !self.is_over() {
             let reloaded = self.with(i, |d| {
                 let settings = with_added_class(d.settings.clone(), added);
-                d.reload_settings(settings).is_ok()
+                d.reload_with_settings(settings).is_ok()
             });
             if reloaded == Some(true) {
                 return true;
--- a/lab/src/world/clients.rs
+++ b/lab/src/testbed/clients.rs
@@ -1,7 +1,7 @@
 //! Load that does not wait for answers: arrivals are drawn ahead, and each message has a connection of its own.
 
-use super::{World, sleep};
-use crate::http::ask;
+use super::{Runtime, sleep};
+use crate::http::send_request;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::cell::{Cell, RefCell};
@@ -19,7 +19,7 @@
 
 impl Clients {
     /// `rate` messages a second at each daemon, spread over the destinations; intervals are exponential.
-    pub fn start(world: &World, daemons: usize, destinations: &[u64], rate: f64, seed: u64) -> Rc<Clients> {
+    pub fn start(world: &Runtime, daemons: usize, destinations: &[u64], rate: f64, seed: u64) -> Rc<Clients> {
         let at = (0..daemons).map(|_| Cell::new(None)).collect();
         let clients = Rc::new(Clients { at, answers: RefCell::default() });
         for i in 0..daemons {
@@ -52,5 +52,5 @@
         "POST /status HTTP/1.1\r\nHost: app\r\nX-Request-Id: {id}\r\nX-Class: status\r\nX-Deadline: {left:.3}\r\n\
          X-Envelope: dest={destination}\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi"
     );
-    ask(daemon, &request, Duration::from_millis(400)).await.map_or(0, |a| a.0)
+    send_request(daemon, &request, Duration::from_millis(400)).await.map_or(0, |a| a.0)
 }
--- a/lab/src/world/discovery.rs
+++ b/lab/src/testbed/discovery.rs
@@ -1,8 +1,8 @@
 //! The endpoint list, and the platform's end of notices.
 
 use super::partner::Partner;
-use super::{World, sleep};
-use crate::http::Server;
+use super::{Runtime, sleep};
+use crate::http::ServerConnection;
 use async_io::Async;
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
@@ -32,7 +32,7 @@
 }
 
 /// One entry of a list made ahead.
-pub fn line(name: &str, at: SocketAddr, destination: u64, state: &str, weight: f64) -> String {
+pub fn entry_json(name: &str, at: SocketAddr, destination: u64, state: &str, weight: f64) -> String {
     format!(
         "{{\"instanceId\":\"{name}\",\"hostPort\":\"{at}\",\"zone\":\"floor-2\",\"machineType\":\"club\",\
          \"cell\":{destination},\"lifecycle\":\"{state}\",\"weight\":{weight},\"startedAtMs\":0}}"
@@ -40,7 +40,7 @@
 }
 
 impl Discovery {
-    pub fn start(world: &World, partners: &[Rc<Partner>]) -> Result<Rc<Discovery>, String> {
+    pub fn start(world: &Runtime, partners: &[Rc<Partner>]) -> Result<Rc<Discovery>, String> {
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).map_err(|e| e.to_string())?;
         let address = listener.get_ref().local_addr().map_err(|e| e.to_string())?;
         let d = Discovery {
@@ -57,7 +57,7 @@
         let (this, w) = (d.clone(), world.clone());
         world.spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                w.spawn(this.clone().serve(Server::new(stream)));
+                w.spawn(this.clone().serve(ServerConnection::new(stream)));
             }
         });
         Ok(d)
@@ -106,10 +106,10 @@
         }
     }
 
-    async fn serve(self: Rc<Discovery>, mut conn: Server) {
-        while let Ok(Some(request)) = conn.next().await {
+    async fn serve(self: Rc<Discovery>, mut conn: ServerConnection) {
+        while let Ok(Some(request)) = conn.next_request().await {
             let done = if request.method == "POST" {
-                conn.answer(204, "", "").await
+                conn.respond(204, "", "").await
             } else {
                 let number = |key: &str| {
                     let at = request.path.split(['?', '&']).find_map(|p| p.strip_prefix(key));
@@ -120,7 +120,7 @@
                     if epoch < self.epoch.get() {
                         let (tried, refused) = self.stale.get();
                         self.stale.set((tried + 1, refused + 1));
-                        if conn.answer(409, "", "").await.is_err() {
+                        if conn.respond(409, "", "").await.is_err() {
                             return;
                         }
                         continue;
@@ -134,7 +134,7 @@
                     left -= 0.02;
                 }
                 let body = self.answer(since);
-                conn.answer(200, "", &body).await
+                conn.respond(200, "", &body).await
             };
             if done.is_err() {
                 return;
--- a/lab/src/world/faults.rs
+++ b/lab/src/testbed/faults.rs
@@ -29,7 +29,7 @@
 
 /// One fault, for the report.
 #[derive(Clone, Debug, Serialize)]
-pub struct Fault {
+pub struct FaultRecord {
     pub at_s: f64,
     pub what: String,
 }
@@ -41,7 +41,7 @@
     links: RefCell<BTreeMap<(usize, usize), Link>>,
     /// What these send does not leave their machine, which stands still with them.
     frozen: RefCell<BTreeSet<usize>>,
-    record: RefCell<Vec<Fault>>,
+    record: RefCell<Vec<FaultRecord>>,
     pub lost: Cell<u64>,
     pub delayed: Cell<u64>,
 }
@@ -82,7 +82,7 @@
 
     pub fn note(&self, at_s: f64, what: impl Into<String>) {
         let at_s = (at_s * 1000.0).round() / 1000.0;
-        self.record.borrow_mut().push(Fault { at_s, what: what.into() });
+        self.record.borrow_mut().push(FaultRecord { at_s, what: what.into() });
     }
 
     pub fn cut(&self, ways: impl IntoIterator<Item = (usize, usize)>) {
@@ -109,7 +109,7 @@
         self.links.borrow_mut().clear();
     }
 
-    pub fn record(&self) -> Vec<Fault> {
+    pub fn record(&self) -> Vec<FaultRecord> {
         self.record.borrow().clone()
     }
 }
--- a/lab/src/world/mod.rs
+++ b/lab/src/testbed/mod.rs
@@ -3,7 +3,7 @@
 pub mod clients;
 pub mod discovery;
 pub mod faults;
-pub mod net;
+pub mod network;
 pub mod partner;
 
 use async_executor::LocalExecutor;
@@ -14,18 +14,18 @@
 
 /// The one clock of an experiment, and where its tasks run.
 #[derive(Clone)]
-pub struct World {
+pub struct Runtime {
     pub executor: Rc<LocalExecutor<'static>>,
     started: Instant,
 }
 
-impl Default for World {
-    fn default() -> World {
-        World { executor: Rc::new(LocalExecutor::new()), started: Instant::now() }
+impl Default for Runtime {
+    fn default() -> Runtime {
+        Runtime { executor: Rc::new(LocalExecutor::new()), started: Instant::now() }
     }
 }
 
-impl World {
+impl Runtime {
     /// Seconds since the experiment began.
     pub fn now(&self) -> f64 {
         self.started.elapsed().as_secs_f64()
@@ -43,7 +43,7 @@
 const LATENESS_LOOK_S: f64 = 0.02;
 
 /// How late the stand-ins are: they share one thread.
-pub async fn watch_lateness(world: World, lateness: Rc<Cell<f64>>) {
+pub async fn monitor_lateness(world: Runtime, lateness: Rc<Cell<f64>>) {
     loop {
         let due = world.now() + LATENESS_LOOK_S;
         sleep(LATENESS_LOOK_S).await;
--- a/lab/src/world/net.rs
+++ b/lab/src/testbed/network.rs
@@ -1,7 +1,7 @@
 //! The network between daemons: one relay for each ordered pair. What may go wrong on it, [`Faults`] says.
 
 use super::faults::{Fate, Faults};
-use super::{World, sleep};
+use super::{Runtime, sleep};
 use async_io::Async;
 use std::cell::{Cell, RefCell};
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
@@ -23,7 +23,7 @@
 }
 
 impl Net {
-    pub fn start(world: &World, members: usize, seed: u64) -> Result<Rc<Net>, String> {
+    pub fn start(world: &Runtime, members: usize, seed: u64) -> Result<Rc<Net>, String> {
         let mut sockets = Vec::new();
         let mut relays = vec![Vec::new(); members];
         for (from, row) in relays.iter_mut().enumerate() {
--- a/lab/src/world/partner.rs
+++ b/lab/src/testbed/partner.rs
@@ -1,7 +1,7 @@
 //! A partner: one endpoint with a capacity, trouble on demand, and a cold return.
 
-use super::{World, sleep};
-use crate::http::Server;
+use super::{Runtime, sleep};
+use crate::http::ServerConnection;
 use async_io::Async;
 use futures_lite::future;
 use std::cell::{Cell, RefCell};
@@ -67,11 +67,11 @@
     pub strength: Strength,
     pub mode: Cell<Mode>,
     pub hits: RefCell<Vec<Hit>>,
-    world: World,
+    world: Runtime,
 }
 
 impl Partner {
-    pub fn start(world: &World, destination: u64, strength: Strength) -> Result<Rc<Partner>, String> {
+    pub fn start(world: &Runtime, destination: u64, strength: Strength) -> Result<Rc<Partner>, String> {
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).map_err(|e| e.to_string())?;
         let address = listener.get_ref().local_addr().map_err(|e| e.to_string())?;
         let (mode, hits) = (Cell::new(Mode::Well), RefCell::default());
@@ -79,7 +79,7 @@
         let this = partner.clone();
         world.spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                this.world.spawn(this.clone().serve(Server::new(stream)));
+                this.world.spawn(this.clone().serve(ServerConnection::new(stream)));
             }
         });
         Ok(partner)
@@ -98,8 +98,8 @@
         }
     }
 
-    async fn serve(self: Rc<Partner>, mut conn: Server) {
-        while let Ok(Some(request)) = conn.next().await {
+    async fn serve(self: Rc<Partner>, mut conn: ServerConnection) {
+        while let Ok(Some(request)) = conn.next_request().await {
             let at = self.world.now();
             let probe = request.method == "GET";
             let stale;
@@ -115,7 +115,7 @@
             let (status, headers, after) = if stale { (409, String::new(), 0.0) } else { self.judge(at) };
             // Whatever it does meanwhile, a call is over when its connection closes.
             let gone = if status == 0 {
-                conn.closed().await;
+                conn.wait_for_close().await;
                 true
             } else {
                 let waits = async {
@@ -124,7 +124,7 @@
                 };
                 future::or(waits, async {
                     // A request that comes too early would be lost here; our daemons send one at a time.
-                    conn.closed().await;
+                    conn.wait_for_close().await;
                     true
                 })
                 .await
@@ -133,7 +133,7 @@
                 let mut hits = self.hits.borrow_mut();
                 (hits[n].until, hits[n].status) = (self.world.now(), if gone { 0 } else { status });
             }
-            if gone || conn.answer(status, &headers, "").await.is_err() {
+            if gone || conn.respond(status, &headers, "").await.is_err() {
                 return;
             }
         }
