--- a/daemon/src/clock/tests.rs
+++ b/daemon/src/clock/tests.rs
@@ -16,8 +16,8 @@
 /// The first process starts at `WALL`; the second one `later`, and the wall clock says `wall` then.
 fn second(name: &str, boot_id: &str, later: Micros, wall: Micros) -> Micros {
     let folder = folder(name);
-    assert_eq!(continue_from(&folder, "boot-1", WALL, BOOT), WALL);
-    let time = continue_from(&folder, boot_id, wall, BOOT.plus(later));
+    assert_eq!(start_time(&folder, "boot-1", WALL, BOOT), WALL);
+    let time = start_time(&folder, boot_id, wall, BOOT.plus(later));
     std::fs::remove_dir_all(&folder).unwrap();
     time
 }
@@ -50,9 +50,9 @@
 #[case::no_number("boot-1 soon\n")]
 fn a_file_that_cannot_be_read_is_made_anew(#[case] text: &str) {
     let folder = folder(&format!("bad-{}", text.len()));
-    std::fs::write(folder.join(FILE), text).unwrap();
-    assert_eq!(continue_from(&folder, "boot-1", WALL, BOOT), WALL);
+    std::fs::write(folder.join(OFFSET_FILE), text).unwrap();
+    assert_eq!(start_time(&folder, "boot-1", WALL, BOOT), WALL);
     let stepped = WALL.plus(HOUR);
-    assert_eq!(continue_from(&folder, "boot-1", stepped, BOOT.plus(Micros(1))), WALL.plus(Micros(1)));
+    assert_eq!(start_time(&folder, "boot-1", stepped, BOOT.plus(Micros(1))), WALL.plus(Micros(1)));
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/daemon/src/core_actor/calls.rs
+++ b/daemon/src/core_actor/calls.rs
@@ -1,142 +1,163 @@
-//! Calls on their way to the actors of endpoints, what came of them, and ends on their way to the fronts.
+//! Sends calls to the endpoint actors, handles their outcomes, and sends final statuses to the frontends.
 
 use super::*;
 
 impl CoreActor {
-    pub(super) fn call(&mut self, now: Micros, n: u64, attempt: u32, to: ReceiverId, patience: Micros) {
-        let Some(o) = self.ledger.get(n) else { return };
-        let t = &o.accepted;
-        if o.attempts > 0 {
+    /// Sends the call of an attempt.
+    pub(super) fn send_call(
+        &mut self, now: Micros, number: u64, attempt: u32, receiver: ReceiverId, timeout: Micros,
+    ) {
+        let Some(open) = self.ledger.get(number) else { return };
+        let message = &open.accepted;
+        if open.attempts > 0 {
             self.shared.counters.retried.increment();
         }
-        tracing::debug!(id = t.request_id, attempt, to = to.0, earlier = o.attempts, "attempt decided");
-        let called_off = self.ledger.can_cancel_attempts().then(|| {
-            let (wanted, called_off) = bounded(1);
-            self.out.insert((n, attempt), wanted);
-            called_off
+        tracing::debug!(
+            id = message.request_id,
+            attempt,
+            to = receiver.0,
+            earlier = open.attempts,
+            "attempt queued"
+        );
+        let cancelled = self.ledger.can_cancel_attempts().then(|| {
+            let (handle, cancelled) = bounded(1);
+            self.cancel_handles.insert((number, attempt), handle);
+            cancelled
         });
-        self.hand(OutboundCall {
-            cancellation: called_off,
-            unsafe_to_repeat: self.ledger.unsafe_to_repeat(n),
-            number: n,
+        self.queue_call(OutboundCall {
+            cancellation: cancelled,
+            unsafe_to_repeat: self.ledger.unsafe_to_repeat(number),
+            number,
             attempt,
-            receiver: to,
-            endpoint: self.endpoint_name(to),
-            id: t.request_id.clone(),
-            idempotency_key: t.idempotency_key.clone(),
-            frontend_note: t.frontend_note.clone(),
-            body: t.body.clone(),
+            receiver,
+            endpoint: self.endpoint_name(receiver),
+            id: message.request_id.clone(),
+            idempotency_key: message.idempotency_key.clone(),
+            frontend_note: message.frontend_note.clone(),
+            body: message.body.clone(),
             started: now,
-            timeout: patience,
+            timeout,
             probe_path: None,
         });
     }
 
-    fn endpoint_name(&self, to: ReceiverId) -> String {
-        self.directory.active_endpoint(to).map(|peer| peer.name.clone()).unwrap_or_default()
+    fn endpoint_name(&self, receiver: ReceiverId) -> String {
+        self.directory.active_endpoint(receiver).map(|endpoint| endpoint.name.clone()).unwrap_or_default()
     }
 
-    /// The call of a probe: as any other, but nothing of it is logged or owed.
-    pub(super) fn probe(&mut self, now: Micros, n: u64, to: ReceiverId, patience: Micros) {
-        let Some(probing) = &self.probing else { return };
-        self.hand(OutboundCall {
+    /// Sends a probe: a call like any other, but without a log record and without a message.
+    pub(super) fn send_probe(&mut self, now: Micros, number: u64, receiver: ReceiverId, timeout: Micros) {
+        let Some(probing) = &self.duty_runner else { return };
+        self.queue_call(OutboundCall {
             unsafe_to_repeat: false,
-            number: n,
+            number,
             attempt: 0,
-            receiver: to,
-            endpoint: self.endpoint_name(to),
+            receiver,
+            endpoint: self.endpoint_name(receiver),
             id: String::new(),
             idempotency_key: String::new(),
             frontend_note: String::new(),
             body: Vec::new(),
             started: now,
-            timeout: patience.min(probing.probe_timeout()),
+            timeout: timeout.min(probing.probe_timeout()),
             probe_path: Some(probing.probe_path.clone()),
             cancellation: None,
         });
     }
 
-    /// Hands a call to its endpoint's actor. The module is owed an outcome wherever it sends: to an endpoint that is
-    /// not here any more, to one whose mailbox is full, to a gateway that knows no probes.
-    pub(super) fn hand(&mut self, call: OutboundCall) {
+    /// Queues a call at its endpoint's actor. Where that fails the outcome is reported at once, since the
+    /// ledger expects one
+    /// for each call: the endpoint may be gone, its mailbox full, or it is a gateway, which has no probes.
+    pub(super) fn queue_call(&mut self, call: OutboundCall) {
         let (now, moot) = (call.started, call.outcome(call.started, Verdict::Moot));
-        let odd = call.probe_path.is_some() && self.directory.is_fixed(call.receiver);
+        let unsupported_probe = call.probe_path.is_some() && self.directory.is_fixed(call.receiver);
         self.directory.call_started(call.receiver);
-        let mailbox = self.mailboxes.get(&call.receiver).filter(|_| !odd);
-        if mailbox.is_none_or(|m| m.try_send(ToEndpoint::Call(Box::new(call))).is_err()) {
-            self.answered(now, &moot);
+        let mailbox = self.mailboxes.get(&call.receiver).filter(|_| !unsupported_probe);
+        if mailbox.is_none_or(|mailbox| mailbox.try_send(ToEndpoint::Call(Box::new(call))).is_err()) {
+            self.on_attempt_ended(now, &moot);
         }
     }
 
-    pub(super) fn tell(&mut self, n: u64, end: FinalStatus) {
-        let Some(o) = self.ledger.get(n) else { return };
-        match end {
+    /// Sends the final status of a message to its frontend.
+    pub(super) fn report_status(&mut self, number: u64, status: FinalStatus) {
+        let Some(open) = self.ledger.get(number) else { return };
+        match status {
             FinalStatus::Failed => self.shared.counters.failed.increment(),
             FinalStatus::Returned(_) => self.shared.counters.returned.increment(),
             FinalStatus::Delivered => {}
         }
-        let t = &o.accepted;
-        let (id, attempts) = (&t.request_id, o.attempts);
+        let message = &open.accepted;
+        let (id, attempts) = (&message.request_id, open.attempts);
         tracing::debug!(
             id,
             attempts,
-            may_have_run = o.first_possible_run.is_some(),
-            "request ended: {end:?}"
+            may_have_run = open.first_possible_run.is_some(),
+            "message ended: {status:?}"
         );
-        let ending = StatusNotice {
-            number: n,
-            id: t.request_id.clone(),
-            frontend_note: t.frontend_note.clone(),
-            deadline: t.deadline,
-            status: end,
+        let notice = StatusNotice {
+            number,
+            id: message.request_id.clone(),
+            frontend_note: message.frontend_note.clone(),
+            deadline: message.deadline,
+            status,
         };
-        self.pass(ending);
+        self.deliver_notice(notice);
     }
 
-    pub(super) fn pass(&mut self, ending: StatusNotice) -> bool {
-        let front = self.ledger.get(ending.number).map_or(0, |o| o.accepted.frontend);
-        match self.fronts.get(&front).map(|f| f.try_send(ending)) {
-            Some(Err(TrySendError::Full(ending))) => {
-                self.waiting.push_front(ending);
+    /// Queues a notice at its frontend. Returns false, and keeps the notice, if the mailbox is full.
+    pub(super) fn deliver_notice(&mut self, notice: StatusNotice) -> bool {
+        let frontend = self.ledger.get(notice.number).map_or(0, |open| open.accepted.frontend);
+        match self.frontends.get(&frontend).map(|mailbox| mailbox.try_send(notice)) {
+            Some(Err(TrySendError::Full(notice))) => {
+                self.undelivered_notices.push_front(notice);
                 false
             }
             _ => true,
         }
     }
 
-    pub(super) fn answered(&mut self, now: Micros, a: &AttemptOutcome) {
-        if let Some(p) = &mut self.probing {
-            p.probe_ended(a.number);
+    /// Records the outcome of an attempt.
+    pub(super) fn on_attempt_ended(&mut self, now: Micros, outcome: &AttemptOutcome) {
+        if let Some(duty_runner) = &mut self.duty_runner {
+            duty_runner.probe_ended(outcome.number);
         }
-        self.out.remove(&(a.number, a.attempt));
-        let c = &self.shared.counters;
-        if a.verdict == Verdict::Stale {
-            c.stale.increment();
+        self.cancel_handles.remove(&(outcome.number, outcome.attempt));
+        let counters = &self.shared.counters;
+        if outcome.verdict == Verdict::Stale {
+            counters.stale.increment();
         }
-        match a.verdict {
-            Verdict::Delivered => &c.delivered,
-            Verdict::Error => &c.error,
-            Verdict::Full(_) => &c.full,
-            Verdict::TimedOut => &c.timed_out,
-            Verdict::ConnectFailed | Verdict::ConnectionLimit => &c.connect_failed,
-            Verdict::Reset | Verdict::Stale => &c.reset,
-            Verdict::Cancelled => &c.cancelled,
-            Verdict::Moot => &c.moot,
-            Verdict::HeldBack => &c.held_back,
+        match outcome.verdict {
+            Verdict::Delivered => &counters.delivered,
+            Verdict::Error => &counters.error,
+            Verdict::Full(_) => &counters.full,
+            Verdict::TimedOut => &counters.timed_out,
+            Verdict::ConnectFailed | Verdict::ConnectionLimit => &counters.connect_failed,
+            Verdict::Reset | Verdict::Stale => &counters.reset,
+            Verdict::Cancelled => &counters.cancelled,
+            Verdict::Moot => &counters.moot,
+            Verdict::HeldBack => &counters.held_back,
         }
         .increment();
-        if a.wait_until > Micros(0) {
-            c.waits_told.increment();
+        if outcome.wait_until > Micros(0) {
+            counters.waits_told.increment();
         }
-        if let Some(o) = self.ledger.get(a.number) {
-            let (id, attempt, elapsed_ms) = (&o.accepted.request_id, a.attempt, a.elapsed.0 / 1000);
-            tracing::debug!(id, attempt, to = a.receiver.0, elapsed_ms, "attempt ended: {:?}", a.verdict);
+        if let Some(open) = self.ledger.get(outcome.number) {
+            let (id, attempt, elapsed_ms) =
+                (&open.accepted.request_id, outcome.attempt, outcome.elapsed.0 / 1000);
+            tracing::debug!(
+                id,
+                attempt,
+                to = outcome.receiver.0,
+                elapsed_ms,
+                "attempt ended: {:?}",
+                outcome.verdict
+            );
         }
-        self.directory.on_retry_after(a.receiver, a.wait_until);
-        self.shared.invariants.told_wait(now, a.receiver, a.wait_until);
-        self.share_wait(now, a.receiver, a.wait_until);
-        self.directory.call_ended(a.receiver);
-        let record = self.ledger.end_attempt(now, a);
-        self.keep_later(record);
+        self.directory.on_retry_after(outcome.receiver, outcome.wait_until);
+        self.shared.invariants.note_retry_after(now, outcome.receiver, outcome.wait_until);
+        self.share_wait(now, outcome.receiver, outcome.wait_until);
+        self.directory.call_ended(outcome.receiver);
+        let record = self.ledger.end_attempt(now, outcome);
+        self.log_or_queue(record);
     }
 }
--- a/daemon/src/core_actor/endpoint_list.rs
+++ b/daemon/src/core_actor/endpoint_list.rs
@@ -1,185 +1,205 @@
-//! Endpoints and destinations: what the list says of them, and those that come into use or rest.
+//! Applies endpoint lists, activates destinations when they are used, and deactivates those that are not.
 
 use super::*;
 
 impl CoreActor {
-    /// A gateway is an endpoint of its destination, and stays one.
-    pub fn gateway(&mut self, g: Gateway) {
+    /// Adds a gateway: a fixed endpoint of its destination, which no list removes.
+    pub fn add_gateway(&mut self, gateway: Gateway) {
         let now = self.shared.clock.now();
-        let (to, entry) = self.directory.add_fixed(
+        let (receiver, entry) = self.directory.add_fixed(
             now,
             &Endpoint {
-                name: &g.name,
-                address: g.address,
-                zone: &g.zone,
-                kind: u16::try_from(g.kind).unwrap_or(u16::MAX),
-                destination: g.destination,
-                weight: g.weight as f32,
+                name: &gateway.name,
+                address: gateway.address,
+                zone: &gateway.zone,
+                kind: u16::try_from(gateway.kind).unwrap_or(u16::MAX),
+                destination: gateway.destination,
+                weight: gateway.weight as f32,
                 state: EntryState::Ready,
             },
         );
         self.ledger.on_list_event(now, Event::CachedEntries(vec![entry]));
-        let mailbox = gateway::start(&self.shared, g, self.room());
-        self.mailboxes.insert(to, mailbox);
+        let mailbox = gateway::start(&self.shared, gateway, self.mailbox_capacity());
+        self.mailboxes.insert(receiver, mailbox);
     }
 
-    /// As many calls as may be out to one destination, and messages of other kinds.
-    pub(super) fn room(&self) -> usize {
+    /// Capacity of an endpoint's mailbox: the calls that may be in flight to one destination, and some other
+    /// messages.
+    pub(super) fn mailbox_capacity(&self) -> usize {
         self.slots * 3 / 4 + 8
     }
 
-    /// A destination is used: it wakes, if it was at rest.
-    pub(super) fn used(&mut self, now: Micros, destination: u64) {
-        let mut follows = DirectoryOutput::default();
-        let Some(woken) = self.directory.touch(now, destination, &mut follows) else { return };
+    /// Marks a destination as used, and activates it if it was inactive.
+    pub(super) fn activate_destination(&mut self, now: Micros, destination: u64) {
+        let mut output = DirectoryOutput::default();
+        let Some(activated) = self.directory.touch(now, destination, &mut output) else { return };
         self.shared.counters.wakes.increment();
-        self.order(follows.commands);
-        match self.assumed {
-            Some(assumed) => self.ledger.activate(now, destination, woken.health, woken.endpoints, assumed),
+        self.run_commands(output.commands);
+        match self.assumed_rate_per_s {
+            Some(assumed_rate) => {
+                self.ledger.activate(now, destination, activated.health, activated.endpoints, assumed_rate)
+            }
             None => {
-                let (entries, known): (Vec<_>, Vec<_>) = woken.endpoints.into_iter().unzip();
-                let numbers: Vec<_> = entries.iter().map(|e| e.receiver).collect();
+                let (entries, retained): (Vec<_>, Vec<_>) = activated.endpoints.into_iter().unzip();
+                let numbers: Vec<_> = entries.iter().map(|entry| entry.receiver).collect();
                 self.ledger.on_list_event(now, Event::CachedEntries(entries));
-                for (to, repute) in numbers.into_iter().zip(known) {
-                    self.ledger.restore_receiver(now, to, repute);
+                for (receiver, health) in numbers.into_iter().zip(retained) {
+                    self.ledger.restore_receiver(now, receiver, health);
                 }
             }
         }
     }
 
-    /// Carries out what is to be done at endpoints.
-    pub(super) fn order(&mut self, orders: Vec<EndpointCommand>) {
-        for order in orders {
-            match order {
-                EndpointCommand::Open(to, address) => {
-                    let mailbox = endpoint::start(&self.shared, address, self.room());
-                    self.mailboxes.insert(to, mailbox);
+    /// Carries out the directory's commands.
+    pub(super) fn run_commands(&mut self, commands: Vec<EndpointCommand>) {
+        for command in commands {
+            match command {
+                EndpointCommand::Open(receiver, address) => {
+                    let mailbox = endpoint::start(&self.shared, address, self.mailbox_capacity());
+                    self.mailboxes.insert(receiver, mailbox);
+                }
+                // The actor ends when its mailbox closes and no call is in flight.
+                EndpointCommand::Close(receiver) => drop(self.mailboxes.remove(&receiver)),
+                EndpointCommand::CloseIdle(receiver) => {
+                    self.send_to_endpoint(receiver, ToEndpoint::CloseIdle)
                 }
-                // Its actor ends with its mailbox, once nothing is out there.
-                EndpointCommand::Close(to) => drop(self.mailboxes.remove(&to)),
-                EndpointCommand::CloseIdle(to) => self.send_to_endpoint(to, ToEndpoint::CloseIdle),
-                EndpointCommand::AddressChanged(to, address) => {
-                    self.send_to_endpoint(to, ToEndpoint::AddressChanged(Box::new(address)))
+                EndpointCommand::AddressChanged(receiver, address) => {
+                    self.send_to_endpoint(receiver, ToEndpoint::AddressChanged(Box::new(address)))
                 }
             }
         }
     }
 
-    pub(super) fn send_to_endpoint(&self, to: ReceiverId, message: ToEndpoint) {
-        if let Some(mailbox) = self.mailboxes.get(&to) {
+    /// Sends a message to an endpoint's actor; it is dropped if the mailbox is full or gone.
+    pub(super) fn send_to_endpoint(&self, receiver: ReceiverId, message: ToEndpoint) {
+        if let Some(mailbox) = self.mailboxes.get(&receiver) {
             let _ = mailbox.try_send(message);
         }
     }
 
-    pub(super) fn follow_up(&mut self, now: Micros, follows: DirectoryOutput) {
-        self.order(follows.commands);
-        follows.entries.iter().for_each(|e| self.shared.invariants.listed(now, e));
-        for entry in follows.entries.iter().filter(|e| e.state != EntryState::Ready) {
-            if let Some(peer) = self.directory.active_endpoint(entry.receiver) {
-                let (endpoint, to) = (&peer.name, entry.receiver.0);
-                tracing::info!(endpoint, to, "list: nothing more goes there: {:?}", entry.state);
+    /// Applies what a change of the directory means for endpoints and the ledger.
+    pub(super) fn apply_directory_output(&mut self, now: Micros, output: DirectoryOutput) {
+        self.run_commands(output.commands);
+        output.entries.iter().for_each(|entry| self.shared.invariants.note_entry(now, entry));
+        for entry in output.entries.iter().filter(|entry| entry.state != EntryState::Ready) {
+            if let Some(endpoint) = self.directory.active_endpoint(entry.receiver) {
+                let (endpoint, receiver) = (&endpoint.name, entry.receiver.0);
+                tracing::info!(
+                    endpoint,
+                    receiver,
+                    "list: endpoint is {:?}; no new calls are sent to it",
+                    entry.state
+                );
             }
         }
-        if !follows.entries.is_empty() {
-            self.ledger.on_list_event(now, Event::CachedEntries(follows.entries));
+        if !output.entries.is_empty() {
+            self.ledger.on_list_event(now, Event::CachedEntries(output.entries));
         }
-        for (to, repute) in follows.restored_health {
-            self.ledger.restore_receiver(now, to, repute);
+        for (receiver, health) in output.restored_health {
+            self.ledger.restore_receiver(now, receiver, health);
         }
-        follows.restarted.into_iter().for_each(|to| self.ledger.on_receiver_restart(now, to));
+        output.restarted.into_iter().for_each(|receiver| self.ledger.on_receiver_restart(now, receiver));
     }
 
-    pub(super) fn put(&mut self, now: Micros, e: Endpoint<'_>, follows: &mut DirectoryOutput) {
-        if let Err(why) = self.directory.put(now, e.clone(), follows) {
+    /// Adds an endpoint of the list, or logs why it cannot be added.
+    pub(super) fn put_endpoint(&mut self, now: Micros, entry: Endpoint<'_>, output: &mut DirectoryOutput) {
+        if let Err(reason) = self.directory.put(now, entry.clone(), output) {
             self.shared.counters.list_refused.increment();
-            let why = match why {
-                EntryError::Full => "there is no place for it",
+            let reason = match reason {
+                EntryError::Full => "the endpoint table is full",
                 EntryError::OutOfBounds => "its name or zone is out of bounds",
             };
-            tracing::error!("list: {} is left out: {why}", e.name);
+            tracing::error!("list: {} is left out: {reason}", entry.name);
         }
     }
 
-    /// A list in one message.
-    pub(super) fn list(&mut self, now: Micros, list: EndpointList) {
-        let mut follows = DirectoryOutput::default();
+    /// Applies a list that came in one message.
+    pub(super) fn on_list(&mut self, now: Micros, list: EndpointList) {
+        let mut output = DirectoryOutput::default();
         if list.complete {
             self.directory.begin_complete_list();
         }
-        for l in &list.entries {
-            self.put(now, listed_endpoint(l), &mut follows);
+        for listed in &list.entries {
+            self.put_endpoint(now, listed_endpoint(listed), &mut output);
         }
-        self.directory.sweep(now, usize::MAX, &mut follows);
-        self.follow_up(now, follows);
-        self.has_list(now, list.generation);
+        self.directory.sweep(now, usize::MAX, &mut output);
+        self.apply_directory_output(now, output);
+        self.list_finished(now, list.generation);
     }
 
-    pub(super) fn part(&mut self, now: Micros, part: ListPart) {
-        let mut follows = DirectoryOutput::default();
+    /// Applies one part of a long list.
+    pub(super) fn on_list_part(&mut self, now: Micros, part: ListPart) {
+        let mut output = DirectoryOutput::default();
         match part {
             ListPart::Begin => self.directory.begin_complete_list(),
             ListPart::Entries(block) => {
-                for e in block.iter() {
-                    self.put(now, e, &mut follows);
+                for entry in block.iter() {
+                    self.put_endpoint(now, entry, &mut output);
                 }
             }
             ListPart::Sweep(reply) => {
-                let done = self.directory.sweep(now, SWEEP_BATCH_RECORDS, &mut follows);
+                let done = self.directory.sweep(now, SWEEP_BATCH_RECORDS, &mut output);
                 let _ = reply.try_send(done);
             }
-            ListPart::End(generation) => self.has_list(now, generation),
+            ListPart::End(generation) => self.list_finished(now, generation),
         }
-        self.follow_up(now, follows);
+        self.apply_directory_output(now, output);
     }
 
-    /// A list has been taken.
-    pub(super) fn has_list(&mut self, now: Micros, generation: u64) {
+    /// Finishes a list: the directory now holds this generation.
+    pub(super) fn list_finished(&mut self, now: Micros, generation: u64) {
         self.directory.finish_list();
         self.first_list = None;
-        if let Some(p) = &mut self.probing {
+        if let Some(p) = &mut self.duty_runner {
             p.set_list_generation(Some(generation));
         }
         self.shared.counters.list_old.set(0);
         self.shared.counters.listed.set(self.directory.listed_endpoint_count());
         *self.shared.list_state.borrow_mut() = ListState::Current;
         self.ledger.on_list_event(now, Event::ListChanges(Vec::new()));
-        self.list_of(now, Some(generation));
+        self.set_list_generation(now, Some(generation));
     }
 
-    /// Lets endpoints go that are gone, and destinations rest that nobody uses.
-    pub(super) fn tidy(&mut self, now: Micros) {
-        let mut follows = DirectoryOutput::default();
-        self.directory.release_gone_endpoints(now, &mut follows);
+    /// Releases endpoints that are gone, and deactivates idle destinations.
+    pub(super) fn release_unused(&mut self, now: Micros) {
+        let mut output = DirectoryOutput::default();
+        self.directory.release_gone_endpoints(now, &mut output);
         while let Some(destination) = self.directory.next_idle(now) {
-            let Some((whole, each)) = self.ledger.deactivate(now, destination) else { continue };
+            let Some((destination_health, endpoint_health)) = self.ledger.deactivate(now, destination) else {
+                continue;
+            };
             self.shared.counters.rests.increment();
-            self.directory.deactivate(now, destination, whole, &each, &mut follows);
+            self.directory.deactivate(now, destination, destination_health, &endpoint_health, &mut output);
         }
-        self.order(follows.commands);
+        self.run_commands(output.commands);
         self.shared.counters.awake.set(self.directory.active_destination_count());
         self.shared.counters.remembered.set(self.directory.health_store().len());
-        self.keep_memories(now);
+        self.save_health(now);
     }
 
-    /// The list as it was last held.
-    pub fn known(&mut self, list: EndpointList) {
+    /// Loads the cached list of an earlier process.
+    pub fn load_cached_list(&mut self, list: EndpointList) {
         let now = self.shared.clock.now();
-        self.list(now, EndpointList { complete: true, ..list });
-        // Its version may be that of another discovery.
-        self.generation = None;
+        self.on_list(now, EndpointList { complete: true, ..list });
+        // The generation may be that of another discovery server.
+        self.list_generation = None;
     }
 
-    /// Has what is remembered kept, if that is another thing than was kept last.
-    pub(super) fn keep_memories(&mut self, now: Micros) {
+    /// Saves the retained health if a save is due and something has changed.
+    pub(super) fn save_health(&mut self, now: Micros) {
         let changes = self.directory.health_store().change_count();
-        let Some(keep) = self.keep.as_ref().filter(|_| now >= self.keep_at.0 && changes != self.keep_at.1)
+        let Some(saver) = self
+            .health_saver
+            .as_ref()
+            .filter(|_| now >= self.next_health_save.0 && changes != self.next_health_save.1)
         else {
             return;
         };
-        let all = self.directory.health_store().iter().map(|(w, m)| (w.clone(), *m)).collect();
-        // While one is still being written the next waits.
-        if keep.try_send(all).is_ok() {
-            self.keep_at = (now.plus(KEEP_EVERY), changes);
+        let snapshot =
+            self.directory.health_store().iter().map(|(key, health)| (key.clone(), *health)).collect();
+        // If the previous snapshot is still being written, this one is skipped until the next call.
+        if saver.try_send(snapshot).is_ok() {
+            self.next_health_save = (now.plus(HEALTH_SAVE_INTERVAL), changes);
         }
     }
 }
--- a/daemon/src/core_actor/first_list.rs
+++ b/daemon/src/core_actor/first_list.rs
@@ -1,44 +1,50 @@
-//! Where lists are pushed, what their source has counts as known from a start's first moment. A start holds the list of its
-//! file, which may be old: what it may send until it has been told the first one.
+//! Holds calls back after a start until the first endpoint list arrives, where lists are pushed. With pushed
+//! lists, a process
+//! is expected to know the state of discovery from its first moment, but it starts with the cached list,
+//! which may be old.
 
 use onyxrock::interface::Micros;
 
-/// At first nothing goes out: the source answers at once, if not many ask it. What is held meanwhile fills the room (a second
-/// cost a tenth of a day's worth), so a source that takes longer is not waited for in the grace ...
-const WAIT: Micros = Micros(100_000);
-/// ... in which a drain that counts as known allows calls still, but for what a process may be held up ...
-const GRACE: Micros = Micros(1_000_000 - 150_000);
-/// ... and then nothing goes out until the list has come. A source that is silent for longer is down, and what it knows may
-/// be as old as the list of the file.
-const BLIND: Micros = Micros(6_000_000);
+/// At first no calls are sent: discovery answers at once unless many processes ask it. Messages held
+/// meanwhile fill the
+/// table (holding for a second cost a tenth of a day's value), so a slower discovery is not waited for.
+const INITIAL_HOLD: Micros = Micros(100_000);
+/// Calls may then be sent on the cached list for the rest of the grace: a drain allows calls for one second
+/// after it is
+/// known. Of that second, 150 ms are left for delays in this process.
+const STALE_LIST_GRACE: Micros = Micros(1_000_000 - 150_000);
+/// After the grace no calls are sent until the list arrives. If discovery is silent for longer than this it
+/// is down, and
+/// what it knows may be as old as the cached list.
+const MAX_HOLD: Micros = Micros(6_000_000);
 
-/// The time from a start until the first list.
+/// The time between the start and the first endpoint list.
 #[derive(Clone, Copy, Debug)]
-pub struct FirstList {
-    wait_until: Micros,
-    blind_from: Micros,
-    blind_until: Micros,
+pub struct FirstListHold {
+    hold_until: Micros,
+    hold_again_from: Micros,
+    hold_again_until: Micros,
 }
 
-impl FirstList {
-    /// That of a start at this time.
-    pub fn new(start: Micros) -> FirstList {
-        let (wait_until, blind_from) = (start.plus(WAIT), start.plus(GRACE));
-        FirstList { wait_until, blind_from, blind_until: start.plus(BLIND) }
+impl FirstListHold {
+    /// Begins at the start of the process.
+    pub fn new(start: Micros) -> FirstListHold {
+        let (hold_until, hold_again_from) = (start.plus(INITIAL_HOLD), start.plus(STALE_LIST_GRACE));
+        FirstListHold { hold_until, hold_again_from, hold_again_until: start.plus(MAX_HOLD) }
     }
 
-    /// The call for the list failed: there is nothing to wait for in the grace.
+    /// The request for the list failed, so waiting for its answer is pointless.
     pub fn failed(&mut self, now: Micros) {
-        self.wait_until = self.wait_until.min(now);
+        self.hold_until = self.hold_until.min(now);
     }
 
-    /// Nothing may go out now.
+    /// Whether no call may be sent now.
     pub fn holds(&self, now: Micros) -> bool {
-        now < self.wait_until || self.blind_from <= now && now < self.blind_until
+        now < self.hold_until || self.hold_again_from <= now && now < self.hold_again_until
     }
 
-    /// When that changes next.
+    /// The next time at which [`FirstListHold::holds`] changes.
     pub fn due(&self, now: Micros) -> Option<Micros> {
-        [self.wait_until, self.blind_from, self.blind_until].into_iter().find(|at| *at > now)
+        [self.hold_until, self.hold_again_from, self.hold_again_until].into_iter().find(|at| *at > now)
     }
 }
--- a/daemon/src/core_actor/guard.rs
+++ b/daemon/src/core_actor/guard.rs
@@ -1,17 +1,18 @@
-//! The one guard: whatever may send a call asks here right before its first byte, whoever decided on it and however long
-//! ago. It says yes with a [`Permit`], which the sender has to show, or how the call ends that must not go.
+//! The send guard: every call needs a [`Permit`] from here right before its first byte is written, however
+//! long ago it was
+//! decided on. A call that must not be sent gets the verdict to end with instead.
 
 use super::CoreActor;
 use crate::counters::Counter;
 use onyxrock::core::AttemptDenied;
 use onyxrock::interface::{Micros, ReceiverId, SendRecheck, Verdict};
 
-/// What the guard allowed.
+/// Permission to send a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
-    /// The epoch that a probe carries; zero for a message.
+    /// The lease epoch that a probe carries; 0 for a message.
     pub epoch: u64,
-    /// It holds until then.
+    /// The permit expires at this time.
     pub valid_until: Micros,
     /// An earlier attempt of the message may have run.
     pub repeat: bool,
@@ -19,86 +20,91 @@
     pub logged: bool,
 }
 
-/// What the guard says of a call whose first byte is about to leave, or of which some has been written.
+/// The decision on a call whose first byte is about to be written, or which has been written in part.
 pub type PermitResult = Result<Permit, Verdict>;
 
-/// A call that asks.
+/// A call that asks for a permit.
 #[derive(Clone, Copy, Debug)]
 pub struct PermitRequest {
     pub number: u64,
     pub attempt: u32,
     pub receiver: ReceiverId,
-    /// Some of it has been written; the rest waited.
+    /// Part of the call has been written, and the rest had to wait for the socket.
     pub partly_written: bool,
 }
 
 impl CoreActor {
-    /// The last look before a call is written: whatever was asked when it was queued, for it may have waited for a
-    /// connection meanwhile. One that has begun asks for what runs against its last byte alone.
-    pub(super) fn writing(&mut self, now: Micros, asks: PermitRequest) -> PermitResult {
+    /// Rechecks a call right before it is written, because it may have waited for a connection since it was
+    /// queued. A call
+    /// that has been written in part is only checked for what forbids its last byte.
+    pub(super) fn permit_call(&mut self, now: Micros, request: PermitRequest) -> PermitResult {
         let counters = &self.shared.counters;
-        let held_back = |why: &Counter| {
-            why.increment();
+        let held_back = |counter: &Counter| {
+            counter.increment();
             Err(Verdict::HeldBack)
         };
-        let Some(peer) = self.directory.active_endpoint(asks.receiver) else { return Err(Verdict::Moot) };
-        if self.hold && !asks.partly_written {
+        let Some(peer) = self.directory.active_endpoint(request.receiver) else { return Err(Verdict::Moot) };
+        if self.sending_stopped && !request.partly_written {
             return held_back(&counters.held_back_ending);
         }
-        // The list that told of the drain may have taken its time: there is no grace left to use up.
-        if peer.draining_since.is_some() && !asks.partly_written {
+        // The list with the drain may have arrived late, so the grace for calls after a drain counts as used
+        // up.
+        if peer.draining_since.is_some() && !request.partly_written {
             let in_maintenance = self.directory.maintenance().contains(&peer.name);
-            let why =
+            let counter =
                 if in_maintenance { &counters.held_back_maintenance } else { &counters.held_back_drain };
-            return held_back(why);
+            return held_back(counter);
         }
-        match self.ledger.recheck_send(now, asks.number, asks.attempt, asks.receiver) {
+        match self.ledger.recheck_send(now, request.number, request.attempt, request.receiver) {
             SendRecheck::WithinRetryAfter => return held_back(&counters.held_back_wait),
             SendRecheck::NoLongerAllowed => return held_back(&counters.held_back_late),
             SendRecheck::MessageEnded => return Err(Verdict::Moot),
             SendRecheck::Allowed => {}
         }
-        let valid_until = self.ledger.send_deadline(asks.number, asks.attempt).unwrap_or(Micros(u64::MAX));
-        if asks.partly_written {
+        let valid_until =
+            self.ledger.send_deadline(request.number, request.attempt).unwrap_or(Micros(u64::MAX));
+        if request.partly_written {
             return Ok(Permit { epoch: 0, valid_until, repeat: false, logged: true });
         }
-        if self.ledger.probe_is_open(asks.number) {
-            return self.probe_may_go(now, asks.number, valid_until);
+        if self.ledger.probe_is_open(request.number) {
+            return self.permit_probe(now, request.number, valid_until);
         }
-        self.attempt_may_go(now, asks, valid_until)
+        self.permit_attempt(now, request, valid_until)
     }
 
-    fn probe_may_go(&mut self, now: Micros, n: u64, valid_until: Micros) -> PermitResult {
-        let Some(probing) = &mut self.probing else { return Err(Verdict::Moot) };
-        let may = probing.begin_probe(now, n);
+    /// Permits a probe if this member holds the lease for it.
+    fn permit_probe(&mut self, now: Micros, number: u64, valid_until: Micros) -> PermitResult {
+        let Some(probing) = &mut self.duty_runner else { return Err(Verdict::Moot) };
+        let epoch_if_leased = probing.begin_probe(now, number);
         let counters = &self.shared.counters;
-        if may.is_some() { &counters.probes } else { &counters.probes_refused }.increment();
-        let epoch = may.ok_or(Verdict::Moot)?;
+        if epoch_if_leased.is_some() { &counters.probes } else { &counters.probes_refused }.increment();
+        let epoch = epoch_if_leased.ok_or(Verdict::Moot)?;
         Ok(Permit { epoch, valid_until, repeat: false, logged: false })
     }
 
-    /// An attempt that is not in the log could be made again after a restart.
-    fn attempt_may_go(&mut self, now: Micros, asks: PermitRequest, valid_until: Micros) -> PermitResult {
-        let Some(peer) = self.directory.active_endpoint(asks.receiver) else { return Err(Verdict::Moot) };
+    /// Logs the attempt first: an attempt that is not in the log could be repeated after a restart.
+    fn permit_attempt(&mut self, now: Micros, request: PermitRequest, valid_until: Micros) -> PermitResult {
+        let Some(peer) = self.directory.active_endpoint(request.receiver) else { return Err(Verdict::Moot) };
         let repeat = self
             .ledger
-            .get(asks.number)
-            .is_some_and(|o| o.first_possible_run.is_some() || !o.in_flight.is_empty());
-        let record = match self.ledger.begin_attempt(asks.number, asks.attempt, &peer.name, &peer.zone, now) {
-            Ok(record) => record,
-            Err(AttemptDenied::NotOpen) => return Err(Verdict::Moot),
-            Err(AttemptDenied::RepeatForbidden) => {
-                self.shared.counters.held_back_repeat.increment();
-                tracing::error!(
-                    n = asks.number,
-                    attempt = asks.attempt,
-                    "a repeat that its class does not allow"
-                );
-                return Err(Verdict::HeldBack);
-            }
-        };
-        if !self.keep_now(std::slice::from_ref(&record)) {
-            self.ledger.undo_attempt(asks.number, asks.attempt);
+            .get(request.number)
+            .is_some_and(|open| open.first_possible_run.is_some() || !open.in_flight.is_empty());
+        let record =
+            match self.ledger.begin_attempt(request.number, request.attempt, &peer.name, &peer.zone, now) {
+                Ok(record) => record,
+                Err(AttemptDenied::NotOpen) => return Err(Verdict::Moot),
+                Err(AttemptDenied::RepeatForbidden) => {
+                    self.shared.counters.held_back_repeat.increment();
+                    tracing::error!(
+                        number = request.number,
+                        attempt = request.attempt,
+                        "attempt refused: its class does not allow a repeat; the message is held back"
+                    );
+                    return Err(Verdict::HeldBack);
+                }
+            };
+        if !self.log_now(std::slice::from_ref(&record)) {
+            self.ledger.undo_attempt(request.number, request.attempt);
             return Err(Verdict::Moot);
         }
         Ok(Permit { epoch: 0, valid_until, repeat, logged: true })
--- a/daemon/src/core_actor/messages.rs
+++ b/daemon/src/core_actor/messages.rs
@@ -1,10 +1,10 @@
-//! What the module is told and asked, and what it answers.
+//! The messages of the core actor's mailbox, and its replies.
 
 use super::{MaintenanceReply, PermitRequest, PermitResult};
 use crate::list::ListPart;
 use crate::maintenance::MaintenanceChange;
-use crate::shared_waits::Shared;
-use crate::state_folder::Left;
+use crate::shared_waits::SiblingEntry;
+use crate::state_folder::OrphanedLog;
 use async_channel::Sender;
 use onyxrock::core::{AcceptedMessage, AttemptOutcome, FinalStatus, NameIndex};
 use onyxrock::interface::{Micros, ReceiverId, Settings};
@@ -13,100 +13,109 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
+/// A message that a frontend submits.
 #[derive(Debug)]
 pub struct Submission {
     pub message: AcceptedMessage,
     pub reply: Sender<SubmitReply>,
 }
 
+/// The reply to a [`Submission`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmitReply {
+    /// Accepted under this number, and logged.
     Accepted(u64),
+    /// Refused at once, with a retry-after if one is known.
     FailFast(Option<Micros>),
-    /// The same, since no more can be held.
+    /// Refused because no more messages can be held or logged.
     Full,
-    /// No such class or tenant.
+    /// The class or the tenant does not exist.
     UnknownClassOrTenant,
-    /// The list has never named its destination.
+    /// The endpoint list has never named the destination.
     UnknownDestination,
-    /// Its id has been used, and that request could still run.
+    /// The request id has been used, and the message with it may still run.
     DuplicateId,
 }
 
-/// Settings that hold from now on.
+/// Settings that apply from now on.
 #[derive(Debug)]
 pub struct LiveSettings {
     pub settings: Settings,
     pub names: NameIndex,
 }
 
-/// The module's mailbox.
+/// A message to the core actor.
 #[derive(Debug)]
 pub enum CoreMessage {
     Submit(Submission),
-    /// The answer that it was taken on did not reach its client.
+    /// The client could not be told that this message was accepted.
     ReplyNotDelivered(u64),
-    /// A client that may be gone: it is owed no more if nothing of it has begun, as the answer says.
+    /// Withdraws a message whose client may be gone, unless an attempt has begun; the reply says whether it
+    /// was withdrawn.
     WithdrawIfUntried(u64, Sender<bool>),
-    /// A call is about to be written: may it go?
+    /// Asks whether a call that is about to be written may be sent.
     RequestPermit {
         request: PermitRequest,
-        /// Where its connection leads.
+        /// The address that the connection leads to.
         address: SocketAddr,
         reply: Sender<PermitResult>,
     },
-    /// An endpoint has told a wait, and its answer has not ended yet.
+    /// An endpoint sent a retry-after in a response that has not ended yet.
     RetryAfter {
         receiver: ReceiverId,
         until: Micros,
     },
+    /// An attempt or a probe ended.
     AttemptEnded(AttemptOutcome),
+    /// A list that fits into one message.
     EndpointList(EndpointList),
-    /// One part of a list that is too long for one message.
+    /// A part of a list that is too long for one message.
     EndpointListPart(ListPart),
+    /// The request for the list failed.
     ListFailed {
         reason: String,
-        /// The call failed at once.
+        /// The request failed at once, without a timeout.
         immediate: bool,
     },
-    /// Discovery has moved, and is asked there.
+    /// The address of discovery has changed, and the list is requested there from now on.
     DiscoveryMoved,
-    /// A client has been told of an end.
+    /// A client has received the final status of a message.
     NoticeDelivered(u64),
-    /// From other instances.
+    /// A message from another member.
     FromMembers(FromPeers),
-    /// Shows the duties, as JSON.
+    /// Asks for the state of the duties, as JSON.
     DescribeDuties(Sender<serde_json::Value>),
-    /// Operators take an endpoint out, or put it back.
+    /// An operator takes an endpoint out of use, or puts it back.
     ChangeMaintenance {
         change: MaintenanceChange,
         reply: Sender<MaintenanceReply>,
     },
-    /// The file of what operators have taken out is another one than it was.
+    /// Another process has replaced the maintenance file.
     MaintenanceFileChanged,
-    /// New settings.
+    /// Applies new settings.
     NewSettings(Box<LiveSettings>),
-    /// Another process of this forwarder is beside this one, and this is where it is told of waits; none once it is gone.
+    /// A sibling process has started, and its waits file is to be written at this path; `None` once it is
+    /// gone.
     SiblingChanged(Option<PathBuf>),
-    /// What that process has told of waits.
-    FromSibling(Shared),
-    /// What another process of this forwarder owed, which is gone.
-    TakeOverLog(Left),
-    /// Hold all further sends.
+    /// An entry of the sibling's waits file.
+    FromSibling(SiblingEntry),
+    /// Takes over the messages in the log of a sibling that is gone.
+    TakeOverLog(OrphanedLog),
+    /// Sends no new calls.
     StopSending,
-    /// The process ends now: what it leaves to the next one is looked at once more.
+    /// The process ends now: checks that no message is left to the next process overdue.
     FinalCheck(Sender<()>),
-    /// Says when no call is out any more.
+    /// Replies once no call is in flight.
     NotifyWhenNoCalls(Sender<()>),
 }
 
 impl From<FromPeers> for CoreMessage {
-    fn from(news: FromPeers) -> CoreMessage {
-        CoreMessage::FromMembers(news)
+    fn from(message: FromPeers) -> CoreMessage {
+        CoreMessage::FromMembers(message)
     }
 }
 
-/// The end of a request, on its way to its client.
+/// The final status of a message, for its client.
 #[derive(Clone, Debug)]
 pub struct StatusNotice {
     pub number: u64,
--- a/daemon/src/core_actor/records.rs
+++ b/daemon/src/core_actor/records.rs
@@ -1,66 +1,73 @@
-//! Records on their way to the log. The folder may fail for a while: what must be in the log before something is done is
-//! refused then, and what has happened already waits, in order, until it can be written.
+//! Writes records to the log. While the folder fails, work that needs a record first is refused, and records
+//! of events that
+//! have happened are queued and written in order later.
 
 use super::CoreActor;
 use onyxrock::core::{OpenMessage, Record};
 use onyxrock::interface::Micros;
 use std::collections::VecDeque;
 
-/// How often writing is tried again.
-const AGAIN: Micros = Micros(100_000);
-/// Beyond so many records a new log is shorter, which says the same.
-const WAITING_MOST: usize = 4096;
+/// Interval between retries of a failed write.
+const WRITE_RETRY_INTERVAL: Micros = Micros(100_000);
+/// With more queued records than this, rewriting the log is shorter than appending them, and has the same
+/// content.
+const MAX_QUEUED_RECORDS: usize = 4096;
 
-/// Records that could not be written yet, and when to try again.
+/// Records that could not be written yet, and the time of the next retry.
 #[derive(Debug, Default)]
-pub struct Unwritten {
+pub struct UnwrittenRecords {
     records: VecDeque<Record>,
-    again_at: Micros,
+    retry_at: Micros,
 }
 
-impl Unwritten {
-    /// When to try again, if anything waits.
+impl UnwrittenRecords {
+    /// The time of the next retry, if any record is queued.
     pub fn due(&self) -> Option<Micros> {
-        (!self.records.is_empty()).then_some(self.again_at)
+        (!self.records.is_empty()).then_some(self.retry_at)
     }
 }
 
 impl CoreActor {
-    /// Puts records in the log, behind all that waits. False if they are not in it: then nothing may be done that they
-    /// have to be there for.
-    pub(super) fn keep_now(&mut self, records: &[Record]) -> bool {
-        self.write_waiting() && self.append(records)
+    /// Appends records to the log, behind all queued ones. If this returns false they are not logged, and
+    /// work that needs
+    /// them must not begin.
+    pub(super) fn log_now(&mut self, records: &[Record]) -> bool {
+        self.write_queued_records() && self.append(records)
     }
 
-    /// Puts a record of something that has happened in the log, or has it wait.
-    pub(super) fn keep_later(&mut self, record: Option<Record>) {
+    /// Appends the record of an event that has happened, or queues it if the write fails.
+    pub(super) fn log_or_queue(&mut self, record: Option<Record>) {
         let Some(record) = record else { return };
         if !self.unwritten.records.is_empty() || !self.append(std::slice::from_ref(&record)) {
             self.unwritten.records.push_back(record);
-            self.unwritten.again_at = self.shared.clock.now().plus(AGAIN);
+            self.unwritten.retry_at = self.shared.clock.now().plus(WRITE_RETRY_INTERVAL);
             self.shared.counters.wal_waiting.set(self.unwritten.records.len());
         }
     }
 
-    /// Writes what waits, if it is time.
-    pub(super) fn retry_waiting(&mut self, now: Micros) {
-        if self.unwritten.due().is_some_and(|due| due <= now) && !self.write_waiting() {
-            self.unwritten.again_at = now.plus(AGAIN);
+    /// Retries the queued records if the retry is due.
+    pub(super) fn retry_queued_records(&mut self, now: Micros) {
+        if self.unwritten.due().is_some_and(|due| due <= now) && !self.write_queued_records() {
+            self.unwritten.retry_at = now.plus(WRITE_RETRY_INTERVAL);
         }
     }
 
-    fn write_waiting(&mut self) -> bool {
+    /// Writes all queued records. Returns false if they remain queued.
+    fn write_queued_records(&mut self) -> bool {
         if self.unwritten.records.is_empty() {
             return true;
         }
-        let written = if self.unwritten.records.len() > WAITING_MOST {
+        let written = if self.unwritten.records.len() > MAX_QUEUED_RECORDS {
             self.wal.compact(self.ledger.open_messages()).is_ok()
         } else {
             let waiting: Vec<_> = self.unwritten.records.iter().cloned().collect();
             self.append(&waiting)
         };
         if written {
-            tracing::info!("log: {} records that waited are written", self.unwritten.records.len());
+            tracing::info!(
+                "log: writes succeed again; {} queued records are written",
+                self.unwritten.records.len()
+            );
             self.unwritten.records.clear();
         }
         self.shared.counters.wal_waiting.set(self.unwritten.records.len());
@@ -68,17 +75,17 @@
     }
 
     fn append(&mut self, records: &[Record]) -> bool {
-        let (ledger, before) = (&self.ledger, self.wal.compactions);
-        let owed = || -> Box<dyn Iterator<Item = &OpenMessage>> { Box::new(ledger.open_messages()) };
-        let kept = self.wal.append(records, owed);
-        if self.wal.compactions != before {
+        let (ledger, compactions_before) = (&self.ledger, self.wal.compactions);
+        let open_messages = || -> Box<dyn Iterator<Item = &OpenMessage>> { Box::new(ledger.open_messages()) };
+        let result = self.wal.append(records, open_messages);
+        if self.wal.compactions != compactions_before {
             self.shared.counters.wal_compactions.increment();
         }
-        match kept {
+        match result {
             Ok(()) => self.shared.counters.wal_records.increment(),
             Err(e) => {
                 self.shared.counters.wal_refused.increment();
-                tracing::error!("log: {e}");
+                tracing::error!("log: records could not be written: {e}");
                 return false;
             }
         }
--- a/daemon/src/core_actor/sibling.rs
+++ b/daemon/src/core_actor/sibling.rs
@@ -1,151 +1,162 @@
-//! Another process of this forwarder beside this one: what endpoints tell one of them binds both.
+//! A sibling is a second process of this forwarder that runs during an upgrade. Retry-afters and drains that
+//! one of the two
+//! learns bind both.
 
 use super::CoreActor;
-use crate::shared_waits::{Shared, ToldDrain, ToldWait, WaitWriter};
+use crate::shared_waits::{SharedDrain, SharedRetryAfter, SiblingEntry, WaitWriter};
 use onyxrock::interface::{Micros, ReceiverId};
 use onyxrock_roster::DirectoryOutput;
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 
-/// The other process sees this one within a twentieth of a second and tells what it knows at once. One that does not is not
-/// waited for any longer.
-const SNAPSHOT_WITHIN: Micros = Micros(150_000);
-/// How often a file that could not be written is begun anew.
-const AGAIN: Micros = Micros(20_000);
+/// How long a new process sends nothing while it waits for the sibling's snapshot. The sibling notices a new
+/// process within
+/// a twentieth of a second (50 ms) and writes its snapshot at once; a sibling that does not is not waited for
+/// longer.
+const SNAPSHOT_TIMEOUT: Micros = Micros(150_000);
+/// Interval between attempts to rewrite a waits file that could not be written.
+const REWRITE_INTERVAL: Micros = Micros(20_000);
 
-/// What is shared with the process beside this one.
+/// What this process shares with its sibling.
 #[derive(Debug)]
-pub struct Beside {
-    waits: WaitWriter,
-    /// Endpoints of which it was told that they drain.
-    drains: BTreeSet<String>,
-    again_at: Micros,
-    /// Nothing new goes out before, unless it has told what it knows.
-    silent_until: Micros,
+pub struct SiblingLink {
+    waits_file: WaitWriter,
+    /// Draining endpoints that have been written to the waits file.
+    shared_drains: BTreeSet<String>,
+    retry_at: Micros,
+    /// No new call is sent before this time, or before the end of the sibling's snapshot.
+    hold_until: Micros,
 }
 
-impl Beside {
-    /// This process starts beside another: it does not know yet what that one was told.
-    pub fn newcomer(now: Micros, waits: PathBuf) -> Beside {
-        Beside { silent_until: now.plus(SNAPSHOT_WITHIN), ..Beside::first(waits) }
+impl SiblingLink {
+    /// For a process that starts while its sibling runs: it does not know yet what the sibling has learned.
+    pub fn for_starting(now: Micros, waits_path: PathBuf) -> SiblingLink {
+        SiblingLink { hold_until: now.plus(SNAPSHOT_TIMEOUT), ..SiblingLink::for_running(waits_path) }
     }
 
-    /// Another process has started beside this one.
-    pub fn first(waits: PathBuf) -> Beside {
-        let waits = WaitWriter::at(waits);
-        Beside { waits, drains: BTreeSet::new(), again_at: Micros(0), silent_until: Micros(0) }
+    /// For a process whose sibling has just started.
+    pub fn for_running(waits_path: PathBuf) -> SiblingLink {
+        let waits_file = WaitWriter::new(waits_path);
+        SiblingLink { waits_file, shared_drains: BTreeSet::new(), retry_at: Micros(0), hold_until: Micros(0) }
     }
 
-    /// Nothing new may go out now.
+    /// Whether new calls have to wait.
     pub fn holds(&self, now: Micros) -> bool {
-        now < self.silent_until
+        now < self.hold_until
     }
 
-    /// When something is due.
+    /// The time of the next work.
     pub fn due(&self, now: Micros) -> Option<Micros> {
-        let again = self.waits.wants_snapshot().then_some(self.again_at);
-        again.into_iter().chain(Some(self.silent_until).filter(|until| *until > now)).min()
+        let again = self.waits_file.needs_snapshot().then_some(self.retry_at);
+        again.into_iter().chain(Some(self.hold_until).filter(|until| *until > now)).min()
     }
 }
 
 impl CoreActor {
-    /// Another process is beside this one, or is gone.
-    pub(super) fn set_beside(&mut self, waits: Option<PathBuf>) {
-        self.beside = waits.map(Beside::first);
-        self.share_all(self.shared.clock.now());
+    /// A sibling has started, with this path for the own waits file, or is gone.
+    pub(super) fn set_sibling(&mut self, waits_path: Option<PathBuf>) {
+        self.sibling = waits_path.map(SiblingLink::for_running);
+        self.refresh_shared_waits(self.shared.clock.now());
     }
 
-    /// What the process beside this one has told.
-    pub(super) fn heard_beside(&mut self, now: Micros, shared: Shared) {
-        match shared {
-            Shared::EndOfSnapshot => {
-                if let Some(beside) = &mut self.beside {
-                    beside.silent_until = now;
+    /// Applies an entry of the sibling's waits file.
+    pub(super) fn on_sibling_entry(&mut self, now: Micros, entry: SiblingEntry) {
+        match entry {
+            SiblingEntry::EndOfSnapshot => {
+                if let Some(sibling) = &mut self.sibling {
+                    sibling.hold_until = now;
                 }
             }
-            Shared::Wait(wait) => self.told_beside(now, &wait),
-            Shared::Drain(drain) => self.drains_beside(now, &drain),
+            SiblingEntry::RetryAfter(wait) => self.on_sibling_wait(now, &wait),
+            SiblingEntry::Drain(drain) => self.on_sibling_drain(now, &drain),
         }
     }
 
-    /// A drain that the own list tells as well is no news.
-    fn drains_beside(&mut self, now: Micros, drain: &ToldDrain) {
-        if self.generation.is_some_and(|own| own >= drain.generation) {
+    /// Applies a drain that the sibling learned, unless the own list is at least as recent.
+    fn on_sibling_drain(&mut self, now: Micros, drain: &SharedDrain) {
+        if self.list_generation.is_some_and(|own_generation| own_generation >= drain.generation) {
             return;
         }
-        let mut follows = DirectoryOutput::default();
-        self.directory.on_sibling_drain(now, &drain.endpoint, drain.generation, &mut follows);
-        tracing::info!(endpoint = drain.endpoint, "list: drains, as the other process was told");
-        self.follow_up(now, follows);
+        let mut output = DirectoryOutput::default();
+        self.directory.on_sibling_drain(now, &drain.endpoint, drain.generation, &mut output);
+        tracing::info!(endpoint = drain.endpoint, "list: endpoint drains according to the other process");
+        self.apply_directory_output(now, output);
     }
 
-    /// A list has been taken, or its source is another one. What it says of drains is told to the other process.
-    pub(super) fn list_of(&mut self, now: Micros, generation: Option<u64>) {
-        self.generation = generation;
-        let mut follows = DirectoryOutput::default();
-        // Of a process that is gone nothing is to be waited for.
-        let as_late_as = generation.filter(|_| self.beside.is_some());
-        self.directory.on_list_generation(now, as_late_as, &mut follows);
-        self.follow_up(now, follows);
-        if self.beside.is_some() {
+    /// Notes the generation of the current list; `None` after a change of the list's source. Shares its
+    /// drains.
+    pub(super) fn set_list_generation(&mut self, now: Micros, generation: Option<u64>) {
+        self.list_generation = generation;
+        let mut output = DirectoryOutput::default();
+        // If the sibling is gone, its drains need no later list to end.
+        let required_generation = generation.filter(|_| self.sibling.is_some());
+        self.directory.on_list_generation(now, required_generation, &mut output);
+        self.apply_directory_output(now, output);
+        if self.sibling.is_some() {
             self.share_drains(now);
         }
     }
 
+    /// Shares the drains that have not been shared yet.
     fn share_drains(&mut self, now: Micros) {
         let drains = self.drains();
-        let Some(beside) = &mut self.beside else { return };
+        let Some(sibling) = &mut self.sibling else { return };
         for drain in drains {
-            if beside.drains.insert(drain.endpoint.clone()) && beside.waits.add_drain(&drain).is_err() {
-                beside.again_at = now.plus(AGAIN);
+            if sibling.shared_drains.insert(drain.endpoint.clone())
+                && sibling.waits_file.append_drain(&drain).is_err()
+            {
+                sibling.retry_at = now.plus(REWRITE_INTERVAL);
             }
         }
     }
 
-    /// Endpoints that drain by the list that is held.
-    fn drains(&self) -> Vec<ToldDrain> {
-        let Some(generation) = self.generation else { return Vec::new() };
-        let told = |endpoint: &str| ToldDrain { endpoint: endpoint.to_owned(), generation };
-        self.directory.draining().map(told).collect()
+    /// The draining endpoints of the current list.
+    fn drains(&self) -> Vec<SharedDrain> {
+        let Some(generation) = self.list_generation else { return Vec::new() };
+        let shared_drain = |endpoint: &str| SharedDrain { endpoint: endpoint.to_owned(), generation };
+        self.directory.draining().map(shared_drain).collect()
     }
 
-    fn told_beside(&mut self, now: Micros, wait: &ToldWait) {
-        // It holds for what rests here, too.
+    /// Applies a retry-after that an endpoint sent to the sibling.
+    fn on_sibling_wait(&mut self, now: Micros, wait: &SharedRetryAfter) {
+        // The retry-after also applies to an inactive destination.
         if let Some(destination) = self.directory.destination_of(&wait.endpoint) {
-            self.used(now, destination);
+            self.activate_destination(now, destination);
         }
-        let Some(to) = self.directory.receiver_id(&wait.endpoint) else { return };
+        let Some(receiver) = self.directory.receiver_id(&wait.endpoint) else { return };
         self.shared.counters.waits_told_beside.increment();
-        self.ledger.on_retry_after(now, to, wait.until);
-        self.directory.on_retry_after(to, wait.until);
-        self.shared.invariants.told_wait(now, to, wait.until);
+        self.ledger.on_retry_after(now, receiver, wait.until);
+        self.directory.on_retry_after(receiver, wait.until);
+        self.shared.invariants.note_retry_after(now, receiver, wait.until);
     }
 
-    /// An endpoint told this process a wait.
-    pub(super) fn share_wait(&mut self, now: Micros, to: ReceiverId, until: Micros) {
-        let Some(beside) = self.beside.as_mut().filter(|_| until > now) else { return };
-        let Some(peer) = self.directory.active_endpoint(to) else { return };
-        let wait = ToldWait { endpoint: peer.name.clone(), until };
-        if let Err(e) = beside.waits.add(&self.shared.clock, &wait) {
-            beside.again_at = now.plus(AGAIN);
-            tracing::warn!("waits: not shared with the other process yet: {e}");
+    /// Shares a retry-after that an endpoint sent to this process.
+    pub(super) fn share_wait(&mut self, now: Micros, receiver: ReceiverId, until: Micros) {
+        let Some(sibling) = self.sibling.as_mut().filter(|_| until > now) else { return };
+        let Some(endpoint) = self.directory.active_endpoint(receiver) else { return };
+        let wait = SharedRetryAfter { endpoint: endpoint.name.clone(), until };
+        if let Err(e) = sibling.waits_file.append_retry_after(&self.shared.clock, &wait) {
+            sibling.retry_at = now.plus(REWRITE_INTERVAL);
+            tracing::warn!(
+                "waits: a retry-after could not be shared with the other process, and the file will be rewritten: {e}"
+            );
         }
     }
 
-    /// Begins the file anew, if it has to be and it is time.
-    pub(super) fn share_all(&mut self, now: Micros) {
-        let drains = if self.beside.is_some() { self.drains() } else { Vec::new() };
-        let Some(beside) = &mut self.beside else { return };
-        if !beside.waits.wants_snapshot() || now < beside.again_at {
+    /// Rewrites the waits file if that is necessary and due.
+    pub(super) fn refresh_shared_waits(&mut self, now: Micros) {
+        let drains = if self.sibling.is_some() { self.drains() } else { Vec::new() };
+        let Some(sibling) = &mut self.sibling else { return };
+        if !sibling.waits_file.needs_snapshot() || now < sibling.retry_at {
             return;
         }
         let waits: Vec<_> = self
             .directory
             .pending_retry_afters(now)
-            .map(|(endpoint, until)| ToldWait { endpoint: endpoint.to_owned(), until })
+            .map(|(endpoint, until)| SharedRetryAfter { endpoint: endpoint.to_owned(), until })
             .collect();
-        if beside.waits.snapshot(&self.shared.clock, &waits, &drains).is_err() {
-            beside.again_at = now.plus(AGAIN);
+        if sibling.waits_file.write_snapshot(&self.shared.clock, &waits, &drains).is_err() {
+            sibling.retry_at = now.plus(REWRITE_INTERVAL);
         }
     }
 }
--- a/daemon/src/core_actor/takeover.rs
+++ b/daemon/src/core_actor/takeover.rs
@@ -1,68 +1,81 @@
-//! What an earlier process owed, or another one of this forwarder that is gone.
+//! Messages that an earlier process of this forwarder, or a sibling that is gone, has left open.
 
 use super::*;
 
 impl CoreActor {
-    /// Takes note of what this forwarder's own log says of messages, those too that are over.
-    pub fn knows(&mut self, records: &[Record]) {
-        self.seen = records
+    /// Notes all messages that this forwarder's own log names, ended ones included.
+    pub fn note_logged_messages(&mut self, records: &[Record]) {
+        self.logged_keys = records
             .iter()
-            .filter_map(|r| if let Record::Accepted(t) = r { Some(whose(t)) } else { None })
+            .filter_map(|r| if let Record::Accepted(message) = r { Some(message_key(message)) } else { None })
             .collect();
     }
 
-    /// Takes over what an earlier process owed.
-    pub fn resume(&mut self, owed: impl IntoIterator<Item = OpenMessage>) {
-        for o in owed {
+    /// Resumes the open messages of an earlier process.
+    pub fn resume(&mut self, open_messages: impl IntoIterator<Item = OpenMessage>) {
+        for open in open_messages {
             self.shared.counters.resumed.increment();
             let now = self.shared.clock.now();
-            let (n, given) = (o.accepted.number, o.final_status);
-            self.used(now, o.accepted.destination);
-            if o.accepted.deadline < now {
-                self.shared.invariants.found_overdue(&o.accepted.request_id);
+            let (number, final_status) = (open.accepted.number, open.final_status);
+            self.activate_destination(now, open.accepted.destination);
+            if open.accepted.deadline < now {
+                self.shared.invariants.note_expired_at_takeover(&open.accepted.request_id);
             }
-            if self.ledger.resume(now, o)
-                && let Some(end) = given
+            if self.ledger.resume(now, open)
+                && let Some(status) = final_status
             {
-                self.tell(n, end);
+                self.report_status(number, status);
             }
         }
     }
 
-    /// Takes over what another process of this forwarder owed, under numbers of its own. One that died between the two
-    /// logs has left it in both: who is owed already, or was taken over before and has ended since, is known by its id.
-    pub(super) fn copy(&mut self, left: &Left) -> std::io::Result<()> {
-        let scan = left.scan()?;
+    /// Copies the open messages of a process that is gone, under new numbers. A process that died while it
+    /// copied between the
+    /// two logs leaves messages in both. A message that is already open here, or was copied before and has
+    /// ended since, is
+    /// recognized by its key and skipped.
+    pub(super) fn copy_open_messages(&mut self, orphaned: &OrphanedLog) -> std::io::Result<()> {
+        let scan = orphaned.scan()?;
         if scan.damaged_bytes > 0 {
-            tracing::warn!("log: {} bytes of another process belong to no whole record", scan.damaged_bytes);
+            tracing::warn!(
+                "log: {} bytes in the log of another process belong to no complete record and are skipped",
+                scan.damaged_bytes
+            );
         }
-        let known: BTreeSet<_> = self.ledger.open_messages().map(|o| whose(&o.accepted)).collect();
-        let mut owed: Vec<_> = recover(scan.records).into_values().collect();
-        owed.retain(|o| !known.contains(&whose(&o.accepted)) && !self.seen.contains(&whose(&o.accepted)));
-        owed.iter_mut().for_each(|o| o.accepted.number = self.ledger.allocate_number());
-        let records: Vec<_> = owed.iter().flat_map(OpenMessage::records).collect();
-        if !records.is_empty() && !self.keep_now(&records) {
+        let open_keys: BTreeSet<_> =
+            self.ledger.open_messages().map(|open| message_key(&open.accepted)).collect();
+        let mut open_messages: Vec<_> = recover(scan.records).into_values().collect();
+        open_messages.retain(|open| {
+            !open_keys.contains(&message_key(&open.accepted))
+                && !self.logged_keys.contains(&message_key(&open.accepted))
+        });
+        open_messages.iter_mut().for_each(|open| open.accepted.number = self.ledger.allocate_number());
+        let records: Vec<_> = open_messages.iter().flat_map(OpenMessage::records).collect();
+        if !records.is_empty() && !self.log_now(&records) {
             return Err(std::io::ErrorKind::StorageFull.into());
         }
-        if !owed.is_empty() {
-            tracing::info!("log: {} messages of another process are taken over", owed.len());
+        if !open_messages.is_empty() {
+            tracing::info!("log: {} messages of another process are taken over", open_messages.len());
         }
-        self.seen.extend(owed.iter().map(|o| whose(&o.accepted)));
-        self.resume(owed);
+        self.logged_keys.extend(open_messages.iter().map(|open| message_key(&open.accepted)));
+        self.resume(open_messages);
         Ok(())
     }
 
-    pub(super) fn take_over(&mut self, left: &Left) -> std::io::Result<()> {
-        self.copy(left)?;
-        left.clear()?;
-        self.seen.clear();
+    /// Copies the open messages of an orphaned log, then removes the log.
+    pub(super) fn take_over_log(&mut self, orphaned: &OrphanedLog) -> std::io::Result<()> {
+        self.copy_open_messages(orphaned)?;
+        orphaned.remove()?;
+        self.logged_keys.clear();
         Ok(())
     }
 
-    /// The same; what fails is tried again at the next look.
-    pub fn adopt(&mut self, left: &Left) {
-        if let Err(e) = self.take_over(left) {
-            tracing::error!("log: what another process owed is not taken over yet: {e}");
+    /// Takes over an orphaned log. A failure is retried when the sibling's place is checked next.
+    pub fn try_take_over_log(&mut self, orphaned: &OrphanedLog) {
+        if let Err(e) = self.take_over_log(orphaned) {
+            tracing::error!(
+                "log: the log of another process could not be taken over and will be retried: {e}"
+            );
         }
     }
 }
--- a/daemon/src/core_actor/tests.rs
+++ b/daemon/src/core_actor/tests.rs
@@ -43,8 +43,8 @@
     std::fs::create_dir_all(&folder).unwrap();
     let mut m = module(&folder);
     let now = m.shared.clock.now();
-    m.list(now, list(EntryState::Ready));
-    m.used(now, 1);
+    m.on_list(now, list(EntryState::Ready));
+    m.activate_destination(now, 1);
     let deadline = now.plus(Micros(5_000_000));
     let taken = AcceptedMessage {
         number: 1,
@@ -53,7 +53,7 @@
         deadline,
         ..AcceptedMessage::default()
     };
-    assert!(m.keep_now(&[Record::Accepted(taken.clone())]));
+    assert!(m.log_now(&[Record::Accepted(taken.clone())]));
     m.ledger.accept(now, taken);
     (folder, m, now)
 }
@@ -79,8 +79,8 @@
     std::fs::create_dir_all(&folder).unwrap();
     let mut m = module(&folder);
     let now = m.shared.clock.now();
-    m.list(now, list(EntryState::Ready));
-    m.used(now, 1);
+    m.on_list(now, list(EntryState::Ready));
+    m.activate_destination(now, 1);
     let taken = AcceptedMessage {
         number: 1,
         class: "a".into(),
@@ -92,13 +92,17 @@
     let mut steps = Vec::new();
     m.ledger.decide(now, true, &mut steps);
     assert!(matches!(steps[0], LedgerAction::Call { number: 1, .. }));
-    assert_eq!(m.writing(now, asks(1, false)), Err(Verdict::Moot), "no such attempt");
-    m.hold = true;
-    assert_eq!(m.writing(now, asks(0, false)), Err(Verdict::HeldBack), "the process ends");
-    m.hold = false;
-    m.list(now, list(EntryState::Draining));
-    assert_eq!(m.writing(now.plus(Micros(900_000)), asks(0, false)), Err(Verdict::HeldBack), "too late");
-    assert_eq!(m.writing(now, asks(0, false)), Err(Verdict::HeldBack), "at once, however late the list came");
+    assert_eq!(m.permit_call(now, asks(1, false)), Err(Verdict::Moot), "no such attempt");
+    m.sending_stopped = true;
+    assert_eq!(m.permit_call(now, asks(0, false)), Err(Verdict::HeldBack), "the process ends");
+    m.sending_stopped = false;
+    m.on_list(now, list(EntryState::Draining));
+    assert_eq!(m.permit_call(now.plus(Micros(900_000)), asks(0, false)), Err(Verdict::HeldBack), "too late");
+    assert_eq!(
+        m.permit_call(now, asks(0, false)),
+        Err(Verdict::HeldBack),
+        "at once, however late the list came"
+    );
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
@@ -108,15 +112,15 @@
     let (folder, mut m, now) = busy(&format!("back-{begun}"));
     m.ledger.decide(now, true, &mut Vec::new());
     if begun {
-        assert!(m.writing(now, asks(0, false)).is_ok());
+        assert!(m.permit_call(now, asks(0, false)).is_ok());
     }
     let (reply, back) = bounded(1);
-    m.take(CoreMessage::WithdrawIfUntried(1, reply));
+    m.handle(CoreMessage::WithdrawIfUntried(1, reply));
     assert_eq!((back.try_recv(), m.ledger.get(1).is_some()), (Ok(!begun), begun));
     let logged = recover(Wal::open(&folder, 1_000_000).unwrap().1.records);
     assert_eq!(logged.contains_key(&1), begun, "the next process knows it, too");
     if !begun {
-        assert_eq!(m.writing(now, asks(0, false)), Err(Verdict::Moot), "its call was queued");
+        assert_eq!(m.permit_call(now, asks(0, false)), Err(Verdict::Moot), "its call was queued");
     }
     std::fs::remove_dir_all(&folder).unwrap();
 }
@@ -132,9 +136,9 @@
     std::fs::create_dir_all(&folder).unwrap();
     let mut m = module(&folder);
     let now = m.shared.clock.now();
-    m.known(list(EntryState::Ready));
-    m.first_list = Some(FirstList::new(now));
-    m.used(now, 1);
+    m.load_cached_list(list(EntryState::Ready));
+    m.first_list = Some(FirstListHold::new(now));
+    m.activate_destination(now, 1);
     let deadline = now.plus(Micros(5_000_000));
     m.ledger.accept(
         now,
@@ -146,15 +150,15 @@
             ..AcceptedMessage::default()
         },
     );
-    m.settle();
+    m.process_due_work();
     let queued = |m: &CoreActor| m.mailboxes.values().map(Sender::len).sum::<usize>();
     assert_eq!(queued(&m), 0);
     match told {
-        Some(listing) => m.list(m.shared.clock.now(), list(listing)),
+        Some(listing) => m.on_list(m.shared.clock.now(), list(listing)),
         // The source is silent: what it knows may be as old.
-        None => m.first_list = Some(FirstList::new(Micros(now.0 - 6_000_000))),
+        None => m.first_list = Some(FirstListHold::new(Micros(now.0 - 6_000_000))),
     }
-    m.settle();
+    m.process_due_work();
     let called = m.mailboxes.values().filter(|b| !b.is_empty()).count();
     assert_eq!(called, calls);
     std::fs::remove_dir_all(&folder).unwrap();
@@ -169,10 +173,10 @@
     let mut moved = list(EntryState::Ready);
     moved.entries[0].address = "127.0.0.1:2".parse().unwrap();
     let there = moved.entries[0].address;
-    m.list(now, moved);
+    m.on_list(now, moved);
     let mut asks = |at| {
         let (reply, says) = bounded(1);
-        m.take(CoreMessage::RequestPermit { request: asks(0, false), address: at, reply });
+        m.handle(CoreMessage::RequestPermit { request: asks(0, false), address: at, reply });
         says.try_recv().unwrap()
     };
     assert_eq!(asks(at), Err(Verdict::HeldBack));
@@ -189,9 +193,13 @@
     m.ledger.decide(now, true, &mut steps);
     let to = ReceiverId(1);
     let (told, late) = (now.plus(Micros(300_000)), now.plus(Micros(900_000)));
-    assert!(m.writing(told, asks(0, false)).is_ok(), "nothing was told yet");
-    m.take(CoreMessage::RetryAfter { receiver: to, until: told.plus(Micros(2_000_000)) });
-    assert_eq!(m.writing(late, asks(0, true)), Err(Verdict::HeldBack), "its last byte would come too late");
+    assert!(m.permit_call(told, asks(0, false)).is_ok(), "nothing was told yet");
+    m.handle(CoreMessage::RetryAfter { receiver: to, until: told.plus(Micros(2_000_000)) });
+    assert_eq!(
+        m.permit_call(late, asks(0, true)),
+        Err(Verdict::HeldBack),
+        "its last byte would come too late"
+    );
     assert_eq!(m.shared.counters.held_back_wait.get(), 1);
     let (elapsed, verdict) = (late.since(now), Verdict::HeldBack);
     let (finished, limit) = (false, (None, None));
@@ -205,14 +213,14 @@
         load_report: limit,
         wait_until: Micros(0),
     };
-    m.answered(late, &held_back);
+    m.on_attempt_ended(late, &held_back);
     assert_eq!(m.ledger.get(1).map(|o| (o.attempts, o.in_flight.len())), Some((0, 0)));
     m.ledger.decide(late, true, &mut steps);
     assert_eq!(steps.len(), 1, "nor is it decided on again");
     let over = told.plus(Micros(2_000_000));
     m.ledger.decide(over, true, &mut steps);
     assert!(matches!(steps[1..], [LedgerAction::Call { number: 1, attempt: 1, .. }]), "{steps:?}");
-    assert!(m.writing(over, asks(1, false)).is_ok());
+    assert!(m.permit_call(over, asks(1, false)).is_ok());
     assert_eq!(m.ledger.get(1).map(|o| o.attempts), Some(1));
     std::fs::remove_dir_all(&folder).unwrap();
 }
@@ -223,7 +231,7 @@
 fn what_was_taken_over_and_has_ended_is_not_taken_over_again() {
     let folder = std::env::temp_dir().join(format!("onyxrock-module-again-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let claim = crate::state_folder::Claim::take(&folder).unwrap();
+    let claim = crate::state_folder::Claim::acquire(&folder).unwrap();
     let mut m = module(&folder);
     let now = m.shared.clock.now();
     let deadline = now.plus(Micros(5_000_000));
@@ -238,20 +246,22 @@
         ..AcceptedMessage::default()
     })
     .write(&mut log);
-    std::fs::write(&claim.beside()[0], &log).unwrap();
-    let Ok(crate::state_folder::Other::Free(left)) = claim.other() else { panic!("nobody is there") };
-    m.copy(&left).unwrap();
+    std::fs::write(&claim.other_logs()[0], &log).unwrap();
+    let Ok(crate::state_folder::OtherProcess::Gone(left)) = claim.check_other() else {
+        panic!("nobody is there")
+    };
+    m.copy_open_messages(&left).unwrap();
     let n = m.ledger.open_messages().next().expect("it is taken over").accepted.number;
-    m.take(CoreMessage::NoticeDelivered(n));
-    m.copy(&left).unwrap();
+    m.handle(CoreMessage::NoticeDelivered(n));
+    m.copy_open_messages(&left).unwrap();
     assert_eq!(m.ledger.open_messages().count(), 0, "its log is still there");
     let scan = Wal::open(&folder, 1_000_000).unwrap().1;
     let mut next = module(&folder);
-    next.knows(&scan.records);
-    next.copy(&left).unwrap();
+    next.note_logged_messages(&scan.records);
+    next.copy_open_messages(&left).unwrap();
     assert_eq!(next.ledger.open_messages().count(), 0, "killed before it could be cleared");
-    next.take_over(&left).unwrap();
-    assert!(!left.is_there() && next.seen.is_empty());
+    next.take_over_log(&left).unwrap();
+    assert!(!left.exists() && next.logged_keys.is_empty());
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
@@ -260,10 +270,10 @@
 fn what_another_process_owed_is_taken_over_once() {
     let folder = std::env::temp_dir().join(format!("onyxrock-module-adopt-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let claim = crate::state_folder::Claim::take(&folder).unwrap();
+    let claim = crate::state_folder::Claim::acquire(&folder).unwrap();
     let mut m = module(&folder);
     let now = m.shared.clock.now();
-    m.list(now, list(EntryState::Ready));
+    m.on_list(now, list(EntryState::Ready));
     let deadline = now.plus(Micros(5_000_000));
     let taken = |n: u64| AcceptedMessage {
         number: n,
@@ -280,10 +290,12 @@
     Record::Attempt { number: 2, attempt: 0, endpoint, zone, at: now }.write(&mut log);
     m.ledger.accept(now, AcceptedMessage { number: 1, request_id: "ours".into(), ..taken(1) });
     for _ in 0..2 {
-        std::fs::write(&claim.beside()[0], &log).unwrap();
-        let Ok(crate::state_folder::Other::Free(left)) = claim.other() else { panic!("nobody is there") };
-        m.adopt(&left);
-        assert!(!left.is_there());
+        std::fs::write(&claim.other_logs()[0], &log).unwrap();
+        let Ok(crate::state_folder::OtherProcess::Gone(left)) = claim.check_other() else {
+            panic!("nobody is there")
+        };
+        m.try_take_over_log(&left);
+        assert!(!left.exists());
     }
     let owed: Vec<_> = m
         .ledger
@@ -306,7 +318,7 @@
 fn a_start_without_its_first_list_sends_within_the_grace_alone() {
     let start = Micros(1_000_000_000);
     let at = |ms: u64| start.plus(Micros(ms * 1000));
-    let mut first_list = FirstList::new(start);
+    let mut first_list = FirstListHold::new(start);
     assert!(first_list.holds(start));
     first_list.failed(at(30));
     let held: Vec<_> =
@@ -320,30 +332,30 @@
 #[test]
 fn what_could_not_be_written_is_written_later_and_in_order() {
     let (folder, mut m, now) = busy("unwritten");
-    let log = folder.join(crate::state_folder::PLACES[0].log);
+    let log = folder.join(crate::state_folder::PROCESS_FILES[0].log);
     m.ledger.decide(now, true, &mut Vec::new());
-    assert!(m.writing(now, asks(0, false)).is_ok());
+    assert!(m.permit_call(now, asks(0, false)).is_ok());
     let logged = || recover(Wal::open(&folder, 1_000_000).unwrap().1.records);
     let before = std::fs::read(&log).unwrap();
     // The log has no room at all.
     m.wal = Wal::open(&folder, 0).unwrap().0;
     let n = 1;
-    m.keep_later(Some(Record::Outcome {
+    m.log_or_queue(Some(Record::Outcome {
         number: n,
         attempt: 0,
         status: onyxrock::core::AttemptStatus::NeverRan,
     }));
-    m.keep_later(Some(Record::Closed(n)));
+    m.log_or_queue(Some(Record::Closed(n)));
     assert_eq!(std::fs::read(&log).unwrap(), before, "nothing was written");
     assert_eq!(m.shared.counters.wal_waiting.get(), 2);
     assert!(
-        !m.keep_now(&[Record::Accepted(AcceptedMessage { number: 2, ..AcceptedMessage::default() })]),
+        !m.log_now(&[Record::Accepted(AcceptedMessage { number: 2, ..AcceptedMessage::default() })]),
         "and nothing is taken on"
     );
     assert!(logged().contains_key(&n));
     let due = m.unwritten.due().expect("it is tried again");
     m.wal = Wal::open(&folder, 1_000_000).unwrap().0;
-    m.retry_waiting(due);
+    m.retry_queued_records(due);
     assert_eq!((m.unwritten.due(), m.shared.counters.wal_waiting.get()), (None, 0));
     assert!(logged().is_empty(), "it is over for the next process, too");
     std::fs::remove_dir_all(&folder).unwrap();
@@ -354,11 +366,11 @@
 fn a_record_goes_behind_those_that_wait() {
     let (folder, mut m, now) = busy("behind");
     m.wal = Wal::open(&folder, 0).unwrap().0;
-    m.keep_later(Some(Record::FinalStatus { number: 1, status: FinalStatus::Failed }));
+    m.log_or_queue(Some(Record::FinalStatus { number: 1, status: FinalStatus::Failed }));
     m.wal = Wal::open(&folder, 1_000_000).unwrap().0;
     let taken =
         AcceptedMessage { number: 2, deadline: now.plus(Micros(5_000_000)), ..AcceptedMessage::default() };
-    assert!(m.keep_now(&[Record::Accepted(taken)]));
+    assert!(m.log_now(&[Record::Accepted(taken)]));
     let records = Wal::open(&folder, 1_000_000).unwrap().1.records;
     assert!(
         matches!(
@@ -379,14 +391,14 @@
         endpoint: endpoint.into(),
         in_maintenance: out,
     };
-    assert_eq!(m.maintenance_call(now, change("nobody", true)), MaintenanceReply::UnknownEndpoint);
-    assert_eq!(m.maintenance_call(now, change("e", true)), MaintenanceReply::Done);
-    assert_eq!(m.writing(now, asks(0, false)), Err(Verdict::HeldBack));
+    assert_eq!(m.change_maintenance(now, change("nobody", true)), MaintenanceReply::UnknownEndpoint);
+    assert_eq!(m.change_maintenance(now, change("e", true)), MaintenanceReply::Done);
+    assert_eq!(m.permit_call(now, asks(0, false)), Err(Verdict::HeldBack));
     assert_eq!(m.shared.counters.held_back_maintenance.get(), 1);
-    m.list(now, list(EntryState::Ready));
-    assert_eq!(m.writing(now, asks(0, false)), Err(Verdict::HeldBack), "whatever the list says");
-    assert_eq!(m.maintenance_call(now, change("e", false)), MaintenanceReply::Done);
-    assert!(m.writing(now, asks(0, false)).is_ok());
+    m.on_list(now, list(EntryState::Ready));
+    assert_eq!(m.permit_call(now, asks(0, false)), Err(Verdict::HeldBack), "whatever the list says");
+    assert_eq!(m.change_maintenance(now, change("e", false)), MaintenanceReply::Done);
+    assert!(m.permit_call(now, asks(0, false)).is_ok());
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
@@ -398,8 +410,8 @@
     let [file, next] = crate::maintenance::files(&folder);
     std::fs::create_dir(&next).unwrap();
     let change = crate::maintenance::MaintenanceChange { endpoint: "e".into(), in_maintenance: true };
-    assert!(matches!(m.maintenance_call(now, change), MaintenanceReply::NotPersisted(_)));
-    m.maintenance_changed(now);
+    assert!(matches!(m.change_maintenance(now, change), MaintenanceReply::NotPersisted(_)));
+    m.reload_maintenance(now);
     assert!(m.directory.maintenance().contains("e"), "the file does not say it yet");
     std::fs::remove_dir(&next).unwrap();
     m.retry_maintenance(m.maintenance_due().expect("it is tried again"));
@@ -415,15 +427,15 @@
     let (folder, mut m, now) = busy(&format!("expiry-{called}"));
     m.ledger.decide(now, true, &mut Vec::new());
     if called {
-        assert!(m.writing(now, asks(0, false)).is_ok());
+        assert!(m.permit_call(now, asks(0, false)).is_ok());
     }
-    m.take(CoreMessage::StopSending);
+    m.handle(CoreMessage::StopSending);
     let deadline = m.ledger.get(1).expect("it is owed").accepted.deadline;
     assert_eq!(m.due(now), (!called).then_some(deadline), "a call that is out is waited for");
     let verdict = if called { Verdict::TimedOut } else { Verdict::HeldBack };
     let (finished, limit, told) = (false, (None, None), Micros(0));
     let elapsed = Micros(1);
-    m.answered(
+    m.on_attempt_ended(
         now,
         &AttemptOutcome {
             number: 1,
--- a/daemon/src/counters.rs
+++ b/daemon/src/counters.rs
@@ -1,8 +1,9 @@
-//! What the forwarder takes in, sends and answers.
+//! The counters of a forwarder.
 
 use serde_json::{Value, json};
 use std::cell::Cell;
 
+/// A counter or gauge of one thread.
 #[derive(Default, Debug)]
 pub struct Counter(Cell<u64>);
 
@@ -13,8 +14,8 @@
     pub fn decrement(&self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
-    pub fn set(&self, n: usize) {
-        self.0.set(n as u64);
+    pub fn set(&self, value: usize) {
+        self.0.set(value as u64);
     }
     pub fn get(&self) -> u64 {
         self.0.get()
@@ -23,14 +24,15 @@
 
 macro_rules! counters {
     ($($name:ident),* $(,)?) => {
-        /// One count for each thing worth knowing; `/counters` and the exit print them all.
+        /// All counters. `/counters` shows them, and they are logged at exit.
         #[derive(Default, Debug)]
         pub struct Counters { $(pub $name: Counter),* }
         impl Counters {
+            /// All counters by name.
             pub fn to_json(&self) -> Value {
                 let mut all: serde_json::Map<_, _> =
                     [$((stringify!($name).to_owned(), json!(self.$name.get()))),*].into_iter().collect();
-                all.insert("log_left_out".to_owned(), json!(crate::log::left_out()));
+                all.insert("log_left_out".to_owned(), json!(crate::log::omitted_lines()));
                 Value::Object(all)
             }
         }
@@ -38,34 +40,35 @@
 }
 
 counters! {
-    // the clients' side
+    // submissions and client connections
     inbound_open, inbound_opened, inbound_turned_away, inbound_sent_off, inbound_given_back, inbound_silent, taken, fail_fast, bad_requests, ids_again, unheard, resumed,
-    // requests that were read whole, and those of them that were answered or whose client had gone
+    // requests that were read completely, and those of them that were answered or whose client had gone
     requests_read, requests_answered, requests_abandoned,
-    // why a connection of a client was closed
+    // why a client connection was closed
     closed_by_client, closed_quiet, closed_ending, closed_by_error,
-    // why a request was refused at once
+    // why a submission was refused at once
     refused_full, refused_ending, refused_late, refused_no_list, refused_unlisted, refused_log,
-    // of what a start found taken on and untried: what became of it
+    // recovered messages without an attempt: their number, and what became of them
     resumed_untried, resumed_over, resumed_tried, resumed_late, resumed_early,
-    // the endpoints' side
+    // calls to endpoints, and their outcomes
     outbound_open, outbound_opened, outbound_reused, outbound_passed_over, outbound_calls, outbound_no_place,
     delivered, spoilt, error, full, timed_out, connect_failed, reset, stale, moot, cancelled, held_back, late_decisions,
-    // the gate before a call's first byte, and the waits that it heeds
+    // why the send guard held calls back, and the retry-afters that it observes
     held_back_wait, held_back_drain, held_back_maintenance, held_back_late, held_back_ending, held_back_moved, held_back_closed, held_back_repeat, held_back_local, waits_told, waits_told_beside, waits_unread,
-    // attempts after the first, and ends
+    // repeated attempts, final statuses and their reports
     retried, failed, returned, notices_sent, notices_retried,
-    // the list
+    // endpoint lists
     reloads, reloads_refused, list_answers, list_failures, list_refused, list_told, list_old, dns_messages,
-    // how often its source moved, milliseconds since the last answer, and the longest such time while calls failed
+    // changes of the list's source, milliseconds since its last answer, and the longest such time while
+    // requests failed
     list_moves, list_age_ms, list_unanswered_most_ms,
-    // destinations at rest and in use
+    // listed endpoints, active and inactive destinations, and saved health snapshots
     listed, awake, wakes, rests, remembered, idle_kept,
-    // the log
+    // the write-ahead log
     wal_records, wal_refused, wal_compactions, wal_waiting,
-    // calls of operators, those of them that were refused, and the endpoints that are out
+    // operator calls, those of them that were refused, and the endpoints that are out of use
     operator_calls, operator_calls_refused, maintenance,
-    // duties shared with other instances
+    // duties shared with other members
     probes, probes_refused, notes_told, notes_heard, notes_unknown, leases_won, lead_epoch, fence_refused,
     // SMPP
     smpp_sessions, smpp_bad_pdus, smpp_receipts, smpp_receipts_lost,
--- a/daemon/src/invariants/tests.rs
+++ b/daemon/src/invariants/tests.rs
@@ -40,18 +40,18 @@
     #[case] listing: EntryState, #[case] after: u64, #[case] violations: u64,
 ) {
     let invariants = Invariants::default();
-    invariants.listed(START, &listed(listing));
+    invariants.note_entry(START, &listed(listing));
     // Word of it again does not begin the grace anew.
-    invariants.listed(START.plus(Micros(500_000)), &listed(listing));
+    invariants.note_entry(START.plus(Micros(500_000)), &listed(listing));
     invariants.check_send(START.plus(Micros(after)), &call(false), &PERMIT);
-    assert_eq!((invariants.drain.get(), invariants.total()), (violations, violations));
+    assert_eq!((invariants.call_after_drain.get(), invariants.total()), (violations, violations));
 }
 
 #[test]
 fn an_endpoint_that_is_ready_again_may_be_called() {
     let invariants = Invariants::default();
-    invariants.listed(START, &listed(EntryState::Draining));
-    invariants.listed(START, &listed(EntryState::Ready));
+    invariants.note_entry(START, &listed(EntryState::Draining));
+    invariants.note_entry(START, &listed(EntryState::Ready));
     invariants.check_send(START.plus(Micros(9_000_000)), &call(false), &PERMIT);
     assert_eq!(invariants.total(), 0);
 }
@@ -64,15 +64,15 @@
     #[case] after: u64, #[case] put_back: bool, #[case] violations: u64,
 ) {
     let invariants = Invariants::default();
-    invariants.maintenance(START, "e1", true);
+    invariants.note_maintenance(START, "e1", true);
     // The call may come twice, and the list may say that it is ready.
-    invariants.maintenance(START.plus(Micros(500_000)), "e1", true);
-    invariants.listed(START, &listed(EntryState::Ready));
+    invariants.note_maintenance(START.plus(Micros(500_000)), "e1", true);
+    invariants.note_entry(START, &listed(EntryState::Ready));
     if put_back {
-        invariants.maintenance(START.plus(Micros(600_000)), "e1", false);
+        invariants.note_maintenance(START.plus(Micros(600_000)), "e1", false);
     }
     invariants.check_send(START.plus(Micros(after)), &call(false), &PERMIT);
-    assert_eq!((invariants.in_maintenance.get(), invariants.total()), (violations, violations));
+    assert_eq!((invariants.call_in_maintenance.get(), invariants.total()), (violations, violations));
 }
 
 #[rstest]
@@ -81,10 +81,10 @@
 #[case::after_it(800_000, 0)]
 fn a_call_during_a_wait(#[case] after: u64, #[case] violations: u64) {
     let invariants = Invariants::default();
-    invariants.told_wait(START, TO, START.plus(Micros(800_000)));
-    invariants.told_wait(START, TO, START.plus(Micros(300_000)));
+    invariants.note_retry_after(START, TO, START.plus(Micros(800_000)));
+    invariants.note_retry_after(START, TO, START.plus(Micros(300_000)));
     invariants.check_send(START.plus(Micros(after)), &call(false), &PERMIT);
-    assert_eq!((invariants.wait.get(), invariants.total()), (violations, violations));
+    assert_eq!((invariants.call_in_retry_after.get(), invariants.total()), (violations, violations));
 }
 
 #[test]
@@ -94,22 +94,22 @@
     invariants.check_send(START, &call(false), &repeat);
     assert_eq!(invariants.total(), 0, "a repeat in time that takes no effect");
     invariants.check_send(START.plus(Micros(1)), &call(false), &repeat);
-    assert_eq!((invariants.late_attempt.get(), invariants.total()), (1, 1));
+    assert_eq!((invariants.expired_repeat.get(), invariants.total()), (1, 1));
     invariants.check_send(START, &call(true), &repeat);
-    assert_eq!((invariants.repeat.get(), invariants.total()), (1, 2));
+    assert_eq!((invariants.forbidden_repeat.get(), invariants.total()), (1, 2));
     invariants.check_send(START, &call(false), &Permit { logged: false, ..PERMIT });
-    assert_eq!((invariants.unlogged.get(), invariants.total()), (1, 3));
+    assert_eq!((invariants.unlogged_call.get(), invariants.total()), (1, 3));
 }
 
 #[test]
 fn an_end_that_comes_too_late_is_counted_but_for_what_a_restart_found() {
     let invariants = Invariants::default();
     let late = START.plus(Micros(300_001));
-    invariants.ended(START.plus(Micros(300_000)), "m1", START, Micros(60_000_000));
-    invariants.ended(late, "m1", START, Micros(1_500_000));
+    invariants.check_report_time(START.plus(Micros(300_000)), "m1", START, Micros(60_000_000));
+    invariants.check_report_time(late, "m1", START, Micros(1_500_000));
     assert_eq!(invariants.total(), 0);
-    invariants.ended(late, "m1", START, Micros(1_500_001));
-    assert_eq!((invariants.late_end.get(), invariants.total()), (1, 1));
+    invariants.check_report_time(late, "m1", START, Micros(1_500_001));
+    assert_eq!((invariants.late_status.get(), invariants.total()), (1, 1));
 }
 
 #[test]
@@ -118,7 +118,7 @@
     PendingResponse::new(&invariants).resolve();
     assert_eq!(invariants.total(), 0);
     drop(PendingResponse::new(&invariants));
-    assert_eq!((invariants.unanswered.get(), invariants.total()), (1, 1));
+    assert_eq!((invariants.unanswered_request.get(), invariants.total()), (1, 1));
 }
 
 /// Who owes an end answers for it: the process that leaves it, not the one that finds it late.
@@ -126,13 +126,13 @@
 fn an_end_that_was_left_too_late_counts_where_it_was_left() {
     let (next, left) = (Invariants::default(), Invariants::default());
     let (late, up) = (START.plus(Micros(300_001)), Micros(60_000_000));
-    left.left_overdue(START.plus(Micros(300_000)), "m1", START);
+    left.check_left_message(START.plus(Micros(300_000)), "m1", START);
     assert_eq!(left.total(), 0);
-    left.left_overdue(late, "m1", START);
-    assert_eq!((left.late_end.get(), left.total()), (1, 1));
-    next.found_overdue("m1");
-    next.ended(late, "m1", START, up);
+    left.check_left_message(late, "m1", START);
+    assert_eq!((left.late_status.get(), left.total()), (1, 1));
+    next.note_expired_at_takeover("m1");
+    next.check_report_time(late, "m1", START, up);
     assert_eq!(next.total(), 0);
-    next.ended(late, "m1", START, up);
-    assert_eq!(next.late_end.get(), 1, "another message");
+    next.check_report_time(late, "m1", START, up);
+    assert_eq!(next.late_status.get(), 1, "another message");
 }
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -1,5 +1,6 @@
-//! The forwarder: the module's decisions on real sockets. Everything runs on one thread; each peer, the list,
-//! the notices and the module are actors with bounded mailboxes.
+//! The forwarder daemon: it carries out the core's decisions on real sockets. Everything runs on one thread.
+//! The core, each
+//! endpoint, the endpoint list and the status notices are actors with bounded mailboxes.
 
 pub mod clock;
 pub mod core_actor;
--- a/daemon/src/log.rs
+++ b/daemon/src/log.rs
@@ -1,7 +1,8 @@
-//! The log: `tracing`, as lines for people or JSON objects, on standard error.
+//! The diagnostic log: `tracing` events as text lines or JSON objects on standard error.
 //!
-//! Every line has the instance. What a peer can cause as often as it likes must not fill a disk: each place in the
-//! program writes so many lines a second at most, and what is over that is only counted.
+//! Every line names the instance. A peer must not be able to fill the disk by causing errors, so each call
+//! site writes a limited
+//! number of lines per second, and further lines are only counted.
 
 use onyxrock_config::product::{Format, Level, Log};
 use std::collections::HashMap;
@@ -15,47 +16,50 @@
 use tracing_subscriber::layer::{Context, Layer, SubscriberExt};
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// Lines that were not written since the start.
-static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
-const WINDOW: Duration = Duration::from_secs(1);
+/// Lines omitted since the start.
+static OMITTED_LINES: AtomicU64 = AtomicU64::new(0);
+/// The limit applies to windows of this length.
+const LIMIT_WINDOW: Duration = Duration::from_secs(1);
 
-/// Lines that were not written since the start.
-pub fn left_out() -> u64 {
-    LEFT_OUT.load(Ordering::Relaxed)
+/// Lines omitted since the start.
+pub fn omitted_lines() -> u64 {
+    OMITTED_LINES.load(Ordering::Relaxed)
 }
 
-/// Bounds the lines of each place. Places are as many as the program has, so the table stays small.
-struct Bound {
-    most: u32,
-    seen: Mutex<HashMap<Identifier, (Instant, u32)>>,
+/// Limits the lines of each call site. There are only as many call sites as the program has, so the table
+/// stays small.
+struct RateLimit {
+    max_lines: u32,
+    windows: Mutex<HashMap<Identifier, (Instant, u32)>>,
 }
 
-impl Bound {
-    fn new(most: u32) -> Bound {
-        Bound { most, seen: Mutex::default() }
+impl RateLimit {
+    fn new(max_lines: u32) -> RateLimit {
+        RateLimit { max_lines, windows: Mutex::default() }
     }
-    fn passes(&self, now: Instant, place: Identifier) -> bool {
-        let Ok(mut seen) = self.seen.lock() else { return true };
-        let (since, lines) = seen.entry(place).or_insert((now, 0));
-        if now.duration_since(*since) >= WINDOW {
-            (*since, *lines) = (now, 0);
+    fn passes(&self, now: Instant, call_site: Identifier) -> bool {
+        let Ok(mut windows) = self.windows.lock() else { return true };
+        let (window_start, lines) = windows.entry(call_site).or_insert((now, 0));
+        if now.duration_since(*window_start) >= LIMIT_WINDOW {
+            (*window_start, *lines) = (now, 0);
         }
         *lines = lines.saturating_add(1);
-        *lines <= self.most
+        *lines <= self.max_lines
     }
 }
 
-impl<S: Subscriber> Layer<S> for Bound {
+impl<S: Subscriber> Layer<S> for RateLimit {
     fn event_enabled(&self, event: &Event<'_>, _: Context<'_, S>) -> bool {
         let passes = self.passes(Instant::now(), event.metadata().callsite());
         if !passes {
-            LEFT_OUT.fetch_add(1, Ordering::Relaxed);
+            OMITTED_LINES.fetch_add(1, Ordering::Relaxed);
         }
         passes
     }
 }
 
-/// Starts the log of this process. Lines carry the instance for as long as the guard lives, on its thread.
+/// Starts the log of this process. Lines carry the instance's name on this thread for as long as the guard
+/// lives.
 pub fn start(log: &Log, instance: &str) -> EnteredSpan {
     let level = match log.level {
         Level::Error => LevelFilter::ERROR,
@@ -65,11 +69,11 @@
         Level::Trace => LevelFilter::TRACE,
     };
     let lines = tracing_subscriber::fmt::layer().with_writer(std::io::stderr).with_target(false);
-    let all = tracing_subscriber::registry().with(level).with(Bound::new(log.lines_per_s));
-    // A second start in one process keeps the first log.
+    let subscriber = tracing_subscriber::registry().with(level).with(RateLimit::new(log.lines_per_s));
+    // If a log was started before in this process, that one stays.
     let _ = match log.format {
-        Format::Text => all.with(lines.with_ansi(false)).try_init(),
-        Format::Json => all.with(lines.json().flatten_event(true).with_span_list(false)).try_init(),
+        Format::Text => subscriber.with(lines.with_ansi(false)).try_init(),
+        Format::Json => subscriber.with(lines.json().flatten_event(true).with_span_list(false)).try_init(),
     };
     tracing::error_span!("forwarder", instance).entered()
 }
@@ -93,42 +97,43 @@
         }
     }
 
-    /// A peer that misbehaves a thousand times costs a few lines, and another place still writes its own.
+    /// A peer that causes the same error a thousand times must not fill the log, nor keep another call site
+    /// from writing.
     #[test]
-    fn one_place_cannot_fill_the_log() {
+    fn one_call_site_cannot_fill_the_log() {
         let sink = Sink::default();
         let writer = sink.clone();
         let lines = tracing_subscriber::fmt::layer().with_writer(move || writer.clone());
-        let all = tracing_subscriber::registry().with(Bound::new(5)).with(lines);
-        let before = left_out();
-        tracing::subscriber::with_default(all, || {
+        let subscriber = tracing_subscriber::registry().with(RateLimit::new(5)).with(lines);
+        let before = omitted_lines();
+        tracing::subscriber::with_default(subscriber, || {
             for i in 0..1000 {
-                tracing::warn!(i, "a spoilt answer");
+                tracing::warn!(i, "a malformed response");
             }
-            tracing::warn!("the list has moved");
+            tracing::warn!("the list source has changed");
         });
         let text = String::from_utf8(sink.0.lock().unwrap().clone()).unwrap();
-        // The window may turn over once while the test runs.
-        let spoilt = text.matches("a spoilt answer").count();
-        assert!((5..=10).contains(&spoilt) && text.contains("the list has moved"), "{text}");
-        assert!(left_out() - before >= 990);
+        // A new window may begin once while the test runs.
+        let malformed = text.matches("a malformed response").count();
+        assert!((5..=10).contains(&malformed) && text.contains("the list source has changed"), "{text}");
+        assert!(omitted_lines() - before >= 990);
     }
 
     #[test]
-    fn a_place_writes_again_in_the_next_second() {
-        let bound = Bound::new(1);
+    fn a_limited_call_site_writes_again_in_the_next_second() {
+        let limit = RateLimit::new(1);
         let start = Instant::now();
-        let place = tracing::callsite::Identifier(&PLACE);
-        assert!(bound.passes(start, place.clone()) && !bound.passes(start, place.clone()));
-        assert!(bound.passes(start + WINDOW, place));
+        let call_site = tracing::callsite::Identifier(&CALL_SITE);
+        assert!(limit.passes(start, call_site.clone()) && !limit.passes(start, call_site.clone()));
+        assert!(limit.passes(start + LIMIT_WINDOW, call_site));
     }
 
-    struct Place;
-    static PLACE: Place = Place;
-    impl tracing::Callsite for Place {
+    struct TestCallSite;
+    static CALL_SITE: TestCallSite = TestCallSite;
+    impl tracing::Callsite for TestCallSite {
         fn set_interest(&self, _: tracing::subscriber::Interest) {}
         fn metadata(&self) -> &tracing::Metadata<'_> {
-            unreachable!("only its address is looked at")
+            unreachable!("only the address of the call site is used")
         }
     }
 }
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The forwarder's command line.
+//! The forwarder's command args.
 
 use lexopt::prelude::*;
 use onyxrock_config::daemon::ReadError;
@@ -21,7 +21,8 @@
 The configuration is what the platform states: --config FILE, or $GW_CONFIG. --product names a
 file of our own, which switches on what the platform does not use (see deploy/product.toml).";
 
-struct Line {
+/// The parsed command line.
+struct Args {
     command: String,
     config: Option<PathBuf>,
     product: Option<PathBuf>,
@@ -29,7 +30,7 @@
     json: bool,
 }
 
-fn line(mut args: lexopt::Parser) -> Result<Line, String> {
+fn parse_args(mut args: lexopt::Parser) -> Result<Args, String> {
     let (mut command, mut config, mut product) = (None, None, None);
     let (mut at, mut json) = (None, false);
     while let Some(arg) = args.next().map_err(|e| e.to_string())? {
@@ -48,31 +49,37 @@
             other => return Err(other.unexpected().to_string()),
         }
     }
-    Ok(Line { command: command.ok_or("no command; see --help")?, config, product, at, json })
+    Ok(Args { command: command.ok_or("no command; see --help")?, config, product, at, json })
 }
 
+/// Runs the command; an error is one line.
 fn run() -> Result<(), String> {
-    let line = line(lexopt::Parser::from_env())?;
+    let args = parse_args(lexopt::Parser::from_env())?;
     let read = || {
         let var = |name: &str| std::env::var(name).ok().filter(|v| !v.is_empty());
-        let path = line.config.clone().or_else(|| var("GW_CONFIG").map(PathBuf::from));
+        let path = args.config.clone().or_else(|| var("GW_CONFIG").map(PathBuf::from));
         let config = onyxrock_config::daemon::read(&path.ok_or("no --config and no $GW_CONFIG")?, var)?;
         let members = |d: &DnsSettings, service: &str| Zone::parse(&d.zone_text, &d.origin)?.members(service);
-        let product = line.product.as_ref().map(|f| product::read(f, &config.names, &members)).transpose()?;
+        let product = args.product.as_ref().map(|f| product::read(f, &config.names, &members)).transpose()?;
         Ok::<_, ReadError>((config, product.unwrap_or_default()))
     };
-    match line.command.as_str() {
+    match args.command.as_str() {
         "serve" => {
             let (config, product) = read()?;
             let _instance = onyxrock_daemon::log::start(&product.log, &config.name);
             onyxrock_daemon::serve::run(config, product, &read)
         }
         "check" => {
-            let (c, product) = read()?;
+            let (config, product) = read()?;
             let (classes, known) =
-                (c.settings.classes.len(), c.cached_list.as_ref().map_or(0, |k| k.entries.len()));
-            println!("{}: listens on {}, {classes} classes, {known} endpoints known", c.name, c.listen);
-            onyxrock_config::settings::describe(&c.settings, &c.names).iter().for_each(|w| println!("{w}"));
+                (config.settings.classes.len(), config.cached_list.as_ref().map_or(0, |k| k.entries.len()));
+            println!(
+                "{}: listens on {}, {classes} classes, {known} endpoints known",
+                config.name, config.listen
+            );
+            onyxrock_config::settings::describe(&config.settings, &config.names)
+                .iter()
+                .for_each(|w| println!("{w}"));
             if let Some(s) = product.smpp {
                 println!(
                     "SMPP on {}, {} clients, {} gateways",
@@ -83,7 +90,7 @@
             }
             if let Some(d) = product.dns {
                 let zone = Zone::parse(&d.zone_text, &d.origin)?;
-                let (list, wrong) = zone.endpoints(&c.names);
+                let (list, wrong) = zone.endpoints(&config.names);
                 println!("DNS on {}, {} endpoints in the zone", d.listen, list.entries.len());
                 wrong.iter().for_each(|w| println!("  {w}"));
             }
@@ -94,7 +101,7 @@
         }
         what @ ("members" | "duties" | "status") => {
             let v = show::fetch(
-                line.at.ok_or_else(|| format!("{what}: --at ADDRESS is missing"))?,
+                args.at.ok_or_else(|| format!("{what}: --at ADDRESS is missing"))?,
                 if what == "members" { "/members" } else { "/duties" },
             )?;
             let shown = match what {
@@ -102,7 +109,7 @@
                 "duties" => show::duties,
                 _ => show::status,
             };
-            print!("{}", if line.json { format!("{v}\n") } else { shown(&v) });
+            print!("{}", if args.json { format!("{v}\n") } else { shown(&v) });
             Ok(())
         }
         "version" => {
--- a/daemon/src/maintenance/tests.rs
+++ b/daemon/src/maintenance/tests.rs
@@ -20,14 +20,14 @@
 #[test]
 fn two_processes_that_are_called_in_turn_lose_neither_change() {
     let folder = folder("two");
-    let (mut first, mut second) = (MaintenanceFile::of(&folder), MaintenanceFile::of(&folder));
+    let (mut first, mut second) = (MaintenanceFile::new(&folder), MaintenanceFile::new(&folder));
     assert_eq!(first.load().unwrap(), names(&[]), "there is no file yet");
-    first.change(change("a", true)).unwrap();
-    second.change(change("b", true)).unwrap();
-    first.change(change("c", true)).unwrap();
-    second.change(change("a", false)).unwrap();
-    second.change(change("a", false)).unwrap();
-    for file in [&first, &second, &MaintenanceFile::of(&folder)] {
+    first.apply(change("a", true)).unwrap();
+    second.apply(change("b", true)).unwrap();
+    first.apply(change("c", true)).unwrap();
+    second.apply(change("a", false)).unwrap();
+    second.apply(change("a", false)).unwrap();
+    for file in [&first, &second, &MaintenanceFile::new(&folder)] {
         assert_eq!(file.load().unwrap(), names(&["b", "c"]));
     }
     std::fs::remove_dir_all(&folder).unwrap();
@@ -37,26 +37,26 @@
 #[test]
 fn what_could_not_be_written_waits_and_holds() {
     let folder = folder("waits");
-    let mut file = MaintenanceFile::of(&folder);
+    let mut file = MaintenanceFile::new(&folder);
     let other = lock(&folder).unwrap();
-    assert!(file.change(change("a", true)).is_err());
-    assert!(file.change(change("b", true)).is_err());
-    assert!(file.change(change("a", false)).is_err());
-    assert!(file.waits());
+    assert!(file.apply(change("a", true)).is_err());
+    assert!(file.apply(change("b", true)).is_err());
+    assert!(file.apply(change("a", false)).is_err());
+    assert!(file.has_unwritten());
     assert_eq!(file.load().unwrap(), names(&["b"]));
-    assert_eq!(MaintenanceFile::of(&folder).load().unwrap(), names(&[]));
+    assert_eq!(MaintenanceFile::new(&folder).load().unwrap(), names(&[]));
     drop(other);
     file.write().unwrap();
-    assert!(!file.waits());
-    assert_eq!(MaintenanceFile::of(&folder).load().unwrap(), names(&["b"]));
+    assert!(!file.has_unwritten());
+    assert_eq!(MaintenanceFile::new(&folder).load().unwrap(), names(&["b"]));
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
 #[test]
 fn half_of_a_next_file_says_nothing_and_noise_is_no_panic() {
     let folder = folder("noise");
-    let mut file = MaintenanceFile::of(&folder);
-    file.change(change("a", true)).unwrap();
+    let mut file = MaintenanceFile::new(&folder);
+    file.apply(change("a", true)).unwrap();
     std::fs::write(&files(&folder)[1], "b\nc").unwrap();
     assert_eq!(file.load().unwrap(), names(&["a"]));
     std::fs::write(&files(&folder)[0], b"a\n\n\xff\xfe\n").unwrap();
@@ -76,5 +76,5 @@
         all.insert(name(all.len()));
     }
     assert!(all.len() > 1024, "{} endpoints fit", all.len());
-    assert!(all.iter().map(|n| n.len() + 1).sum::<usize>() <= BYTES_MOST);
+    assert!(all.iter().map(|n| n.len() + 1).sum::<usize>() <= MAX_FILE_BYTES);
 }
--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -1,7 +1,7 @@
-//! Puts a forwarder together, runs it, and ends it in order.
+//! Starts a forwarder, runs it, and shuts it down in order.
 
 use crate::clock::Clock;
-use crate::core_actor::{Beside, CoreActor, CoreMessage, FirstList, LiveSettings};
+use crate::core_actor::{CoreActor, CoreMessage, FirstListHold, LiveSettings, SiblingLink};
 use crate::counters::Counters;
 use crate::list::{self, DiscoveryParams, dns};
 use crate::maintenance;
@@ -11,9 +11,9 @@
 use crate::net::smpp;
 use crate::notices;
 use crate::sibling;
-use crate::startup::{Opened, open_folder};
+use crate::startup::{OpenedState, open_folder};
 use crate::state_files;
-use crate::state_folder::Other;
+use crate::state_folder::OtherProcess;
 use async_channel::bounded;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -34,29 +34,37 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// After SIGTERM connections still come for a moment; whoever finds the door shut has lost a try.
-const ACCEPT_FOR: Duration = Duration::from_millis(500);
-/// Until then what was taken on goes out as before: the less is left for the next process, which comes seconds later,
-/// the less of it runs out of time untried. Then calls that are out may end, while nothing new goes.
-const SEND_FOR: Duration = Duration::from_millis(2300);
-const END_BY: Duration = Duration::from_millis(3300);
+/// How long after SIGTERM new connections are still accepted: a client whose connection is refused has lost
+/// an attempt.
+const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(500);
+/// How long after SIGTERM accepted messages are still sent. The next process starts seconds later, so the
+/// fewer messages are
+/// left to it, the fewer expire without an attempt.
+const SEND_AFTER_SIGTERM: Duration = Duration::from_millis(2300);
+/// When after SIGTERM the process exits. Between `SEND_AFTER_SIGTERM` and this, calls in flight may end, but no new call
+/// is sent.
+const EXIT_AFTER_SIGTERM: Duration = Duration::from_millis(3300);
 
-/// How often a process that ends looks whether its last connections have ended.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval between checks, during shutdown, of whether the last client connections have ended.
+const CONNECTION_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
+/// Reads the configuration again.
 type Reread<'a> = &'a dyn Fn() -> Result<(Config, ProductSettings), ReadError>;
 
-/// A file that the system does not let be read at the moment of the signal is read again, so often: within the 1.2 s after which
-/// new settings bind, and no longer than a SIGTERM behind it can wait, which leaves `END_BY` and 0.4 s until the kill.
+/// How often reading the configuration is retried if the system cannot open the file at the moment of SIGHUP.
+/// All retries
+/// fit into the 1.2 s after which new settings are binding. A SIGTERM that arrives meanwhile has to wait for
+/// them; that
+/// leaves it `EXIT_AFTER_SIGTERM` and 0.4 s until the kill.
 const REREAD_TRIES: u32 = 8;
-const REREAD_EVERY: Duration = Duration::from_millis(50);
+/// Interval between these retries.
+const REREAD_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs a forwarder until it is told to end.
-/// `reread` reads the configuration anew when SIGHUP comes.
+/// Runs a forwarder until SIGTERM or SIGINT. `reread` reads the configuration again at each SIGHUP.
 pub fn run(config: Config, product: ProductSettings, reread: Reread) -> Result<(), String> {
     let executor = Rc::new(LocalExecutor::new());
-    let served = serve(config, product, reread, executor.clone());
-    async_io::block_on(executor.run(served))
+    let serving = serve(config, product, reread, executor.clone());
+    async_io::block_on(executor.run(serving))
 }
 
 async fn serve(
@@ -64,41 +72,45 @@
 ) -> Result<(), String> {
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])
         .map_err(|e| format!("cannot wait for signals: {e}"))?;
-    let mut held = Config { cached_list: None, ..config.clone() };
-    let ProductSettings { smpp, dns, duties, list: bounds, idle: resting, .. } = product.clone();
-    // The kept zone, old and new, shares the folder with the log.
-    let kept_zone = dns.as_ref().map_or(0, |d| dns::max_kept_zone_bytes(&d.zone_text, config.max_disk_bytes));
-    let zones = 2 * kept_zone;
-    let zones = zones + if duties.is_some() { state_files::EPOCH_BYTES } else { 0 };
-    let kept = resting.map_or(0, |i| i.max_snapshot_bytes);
-    if 2 * kept + zones > config.max_disk_bytes / 2 {
+    let mut current_config = Config { cached_list: None, ..config.clone() };
+    let ProductSettings { smpp, dns, duties, list: bounds, idle: idle_settings, .. } = product.clone();
+    // The persisted zone and its replacement share the folder with the log.
+    let kept_zone_bytes = dns
+        .as_ref()
+        .map_or(0, |settings| dns::max_kept_zone_bytes(&settings.zone_text, config.max_disk_bytes));
+    let reserved_bytes = 2 * kept_zone_bytes;
+    let reserved_bytes = reserved_bytes + if duties.is_some() { state_files::EPOCH_DISK_BYTES } else { 0 };
+    let snapshot_bytes = idle_settings.map_or(0, |idle| idle.max_snapshot_bytes);
+    if 2 * snapshot_bytes + reserved_bytes > config.max_disk_bytes / 2 {
         return Err(format!(
             "[idle]: keep_kb: twice that is more than half of disk_mb, {} bytes",
             config.max_disk_bytes
         ));
     }
-    // The file of what is remembered, old and new, too.
-    let log_bytes = config.max_disk_bytes.saturating_sub(zones + 2 * kept);
-    let Opened { claim, wal, scan, maintenance: taken_out } =
+    // So do the snapshot of retained health and its replacement.
+    let log_bytes = config.max_disk_bytes.saturating_sub(reserved_bytes + 2 * snapshot_bytes);
+    let OpenedState { claim, wal, scan, in_maintenance } =
         open_folder(&config.state_folder, log_bytes).await?;
     if scan.damaged_bytes > 0 {
-        tracing::warn!("log: {} bytes belong to no whole record and are left out", scan.damaged_bytes);
+        tracing::warn!("log: {} bytes belong to no complete record and are skipped", scan.damaged_bytes);
     }
-    let (to_module, module_inbox) = bounded::<CoreMessage>(4096);
-    let (ending, ended) = bounded(1);
-    let (closing, closed) = bounded(1);
-    let idle = config.settings.connection_idle_timeout;
-    // One round of questions to all members, and their answers: what finds no place is lost, and asked again.
-    let others = duties.as_ref().map_or(0, |d| d.members.len());
-    let (to_peers, peers_inbox) = bounded((4 * others).max(1024));
-    let (to_list, list_letters) = bounded(64);
+    let (to_core, core_inbox) = bounded::<CoreMessage>(4096);
+    let (shutdown_signal, shutdown_started) = bounded(1);
+    let (calls_finished_signal, calls_finished) = bounded(1);
+    let idle_timeout = config.settings.connection_idle_timeout;
+    // Room for one round of lease requests to all members, and their responses. A message that finds no room
+    // is lost, and
+    // its request is sent again.
+    let member_count = duties.as_ref().map_or(0, |duty_settings| duty_settings.members.len());
+    let (to_peers, peers_inbox) = bounded((4 * member_count).max(1024));
+    let (to_list, list_updates) = bounded(64);
     let shared = Rc::new(SharedState {
-        clock: Clock::continued(&config.state_folder),
+        clock: Clock::resume(&config.state_folder),
         counters: Counters::default(),
         invariants: Default::default(),
-        core: to_module.clone(),
-        shutdown_started: ended,
-        calls_finished: closed,
+        core: to_core.clone(),
+        shutdown_started,
+        calls_finished,
         eviction_queue: Default::default(),
         reuse_stats: Default::default(),
         last_serial: Cell::new(0),
@@ -108,288 +120,336 @@
         list_answered_at: Cell::default(),
         discovery: Cell::new(config.discovery),
         connect_timeout: config.connect_timeout,
-        idle_timeout: (idle > Micros(0)).then_some(Micros(idle.0 * 4 / 5)),
+        idle_timeout: (idle_timeout > Micros(0)).then_some(Micros(idle_timeout.0 * 4 / 5)),
         peers: duties.as_ref().map(|_| to_peers.clone()),
         max_inbound: (config.max_sockets / 2).max(8) as u64,
         max_outbound: (config.max_sockets / 4).max(8) as u64,
         executor: executor.clone(),
     });
     shared.list_answered_at.set(shared.clock.now());
-    let (follow, wishes) = bounded(4);
-    let (move_list, list_moves) = bounded(1);
-    let (move_notices, notice_moves) = bounded(1);
-    let (notice, endings) = bounded(1024);
-    let (receipt, smpp_endings) = bounded(1024);
-    let fronts = BTreeMap::from([(inbound::FRONTEND_ID, notice), (smpp::FRONTEND_ID, receipt)]);
+    let (list_requests, list_request_inbox) = bounded(4);
+    let (list_source_changed, list_source_changes) = bounded(1);
+    let (notice_target_changed, notice_target_changes) = bounded(1);
+    let (http_notices, http_notice_inbox) = bounded(1024);
+    let (smpp_notices, smpp_notice_inbox) = bounded(1024);
+    let frontends = BTreeMap::from([(inbound::FRONTEND_ID, http_notices), (smpp::FRONTEND_ID, smpp_notices)]);
     let slots = (config.settings.slots as usize).min(4096);
-    let (ask_every, share_much) = (config.settings.list_poll_interval, config.settings.large_fleet());
-    // One that tells whether it is answered, and the watch behind it.
-    let asks_twice = config.settings.list_calls_fit(2);
+    let (poll_interval, large_fleet) = (config.settings.list_poll_interval, config.settings.large_fleet());
+    // Room for a request that shows whether discovery responds, and for the watch behind it.
+    let two_calls_fit = config.settings.list_calls_fit(2);
     let classes = config.names.classes.iter();
-    let give_up = classes.map(|(c, i)| (c.clone(), config.settings.classes[*i].give_up_after)).collect();
+    let give_up_after =
+        classes.map(|(c, i)| (c.clone(), config.settings.classes[*i].give_up_after)).collect();
     let gateways = smpp.as_ref().map_or(Vec::new(), |s| s.gateways.clone());
-    // A gateway knows no idempotency key: it would carry out a repeat.
-    let plain = gateways.iter().map(|g| DestinationId(g.destination)).collect();
+    // A gateway has no idempotency key, so it would carry out a repeated message.
+    let non_idempotent = gateways.iter().map(|g| DestinationId(g.destination)).collect();
     let mut settings = config.settings;
-    let probe_class = duties.as_ref().map(|d| {
-        let shared = !d.probe.without_leases;
-        settings.peer_hints = shared;
-        // Longer than a hand-over of the duty takes.
-        let hold_back = if shared { Micros(d.lease_duration.0 * 3) } else { Micros(0) };
-        add_probe_class(&mut settings, Micros(d.probe.timeout.0 * 2), hold_back)
+    let probe_class = duties.as_ref().map(|duty_settings| {
+        let with_leases = !duty_settings.probe.without_leases;
+        settings.peer_hints = with_leases;
+        // Longer than it takes to move the duty to another member.
+        let probe_delay = if with_leases { Micros(duty_settings.lease_duration.0 * 3) } else { Micros(0) };
+        add_probe_class(&mut settings, Micros(duty_settings.probe.timeout.0 * 2), probe_delay)
     });
-    let ledger = Ledger::new(settings, config.names.clone(), plain, config.seed);
-    let terms = resting
+    let ledger = Ledger::new(settings, config.names.clone(), non_idempotent, config.seed);
+    let health_decay = idle_settings
         .map(|i| HealthDecay { half_life: i.half_life, forget_after: i.forget_after })
         .unwrap_or_default();
     let zones = config.names.zones.clone();
-    let rules = DirectorySettings {
+    let directory_settings = DirectorySettings {
         max_endpoints: bounds.entries.0 as usize,
-        deactivate_after: resting.map(|i| i.deactivate_after),
-        health_decay: terms,
+        deactivate_after: idle_settings.map(|i| i.deactivate_after),
+        health_decay,
         zones,
     };
-    let mut module =
-        CoreActor::new(shared.clone(), ledger, wal, follow, fronts, slots, Directory::new(rules));
-    module.assumed = resting.map(|i| i.assumed_per_s);
-    if kept > 0 {
+    let mut core = CoreActor::new(
+        shared.clone(),
+        ledger,
+        wal,
+        list_requests,
+        frontends,
+        slots,
+        Directory::new(directory_settings),
+    );
+    core.assumed_rate_per_s = idle_settings.map(|i| i.assumed_per_s);
+    if snapshot_bytes > 0 {
         let now = shared.clock.now();
-        for (whose, memory) in state_files::load(&config.state_folder, kept as usize) {
-            module.directory.health_store_mut().restore(now, whose, memory);
+        for (key, health) in state_files::load_health(&config.state_folder, snapshot_bytes as usize) {
+            core.directory.health_store_mut().restore(now, key, health);
         }
-        let (to_keep, keeping) = bounded(1);
-        module.keep = Some(to_keep);
+        let (snapshots, snapshot_inbox) = bounded(1);
+        core.health_saver = Some(snapshots);
         executor
-            .spawn(state_files::run(shared.clone(), config.state_folder.clone(), kept as usize, keeping))
+            .spawn(state_files::run_health_saver(
+                shared.clone(),
+                config.state_folder.clone(),
+                snapshot_bytes as usize,
+                snapshot_inbox,
+            ))
             .detach();
     }
-    gateways.into_iter().for_each(|g| module.gateway(g));
-    module.begin_maintenance(&taken_out);
-    if let (Some(d), Some(class)) = (&duties, probe_class) {
-        let (me, now) = (member_by_name(d, &config.name)?, shared.clock.now());
-        let socket = bind_socket(d)?;
+    gateways.into_iter().for_each(|g| core.add_gateway(g));
+    core.restore_maintenance(&in_maintenance);
+    if let (Some(duty_settings), Some(class)) = (&duties, probe_class) {
+        let (me, now) = (member_by_name(duty_settings, &config.name)?, shared.clock.now());
+        let socket = bind_socket(duty_settings)?;
         let mut entropy = [0; 8];
-        getrandom::fill(&mut entropy).map_err(|e| format!("no random numbers: {e}"))?;
-        let setup = onyxrock_membership::MembershipSettings {
+        getrandom::fill(&mut entropy).map_err(|e| format!("cannot read random numbers: {e}"))?;
+        let membership_settings = onyxrock_membership::MembershipSettings {
             me,
-            member_count: u16::try_from(d.members.len()).map_err(|_| "[duties]: too many members")?,
-            keys: d.keys.clone(),
-            timing: detector_timing(d.lease_duration),
+            member_count: u16::try_from(duty_settings.members.len())
+                .map_err(|_| "[duties]: too many members")?,
+            keys: duty_settings.keys.clone(),
+            timing: detector_timing(duty_settings.lease_duration),
         };
-        let membership = Membership::new(setup, now.0, u64::from_le_bytes(entropy), now);
-        let boot = membership.boot_id();
+        let membership = Membership::new(membership_settings, now.0, u64::from_le_bytes(entropy), now);
+        let boot_id = membership.boot_id();
         let folder = config.state_folder.clone();
-        let keep = Box::new(move |bound| {
-            let kept = state_files::keep_epoch(&folder, bound);
-            kept.inspect_err(|e| tracing::error!("duties: an epoch could not be kept: {e}")).is_ok()
+        let save_bound = Box::new(move |bound| {
+            let saved = state_files::save_epoch_bound(&folder, bound);
+            saved
+                .inspect_err(|e| {
+                    tracing::error!("duties: the epoch bound could not be saved and will be retried: {e}")
+                })
+                .is_ok()
         });
-        let memory = state_files::epoch(&config.state_folder);
-        let out = to_peers.clone();
-        module.probing = Some(DutyRunner::new(d, me, boot, now, class, out, to_list, memory, keep));
-        let at = socket.get_ref().local_addr().map_err(|e| e.to_string())?;
-        tracing::info!("listens on {at} for members");
-        let (clock, out, members) = (shared.clock, to_module.clone(), d.members.clone());
-        let peers =
-            Peers { now: move || clock.now(), outbox: out, socket, membership, members, send_failures: 0 };
+        let stored_bound = state_files::load_epoch_bound(&config.state_folder);
+        let outbox = to_peers.clone();
+        core.duty_runner = Some(DutyRunner::new(
+            duty_settings,
+            me,
+            boot_id,
+            now,
+            class,
+            outbox,
+            to_list,
+            stored_bound,
+            save_bound,
+        ));
+        let address = socket.get_ref().local_addr().map_err(|e| e.to_string())?;
+        tracing::info!("listens on {address} for members");
+        let (clock, outbox, members) = (shared.clock, to_core.clone(), duty_settings.members.clone());
+        let peers = Peers { now: move || clock.now(), outbox, socket, membership, members, send_failures: 0 };
         executor.spawn(peers.run(peers_inbox)).detach();
     }
-    // A zone of our own is later than what discovery last told.
-    let zone = dns.map(|d| {
+    // The own DNS zone is more recent than the cached list of discovery.
+    let zone = dns.map(|settings| {
         dns::DnsServer::open(
-            &d.zone_text,
-            &d.origin,
-            d.listen,
+            &settings.zone_text,
+            &settings.origin,
+            settings.listen,
             config.state_folder,
-            kept_zone,
+            kept_zone_bytes,
             config.names.clone(),
         )
     });
     let zone = zone.transpose()?;
-    // Where many share discovery, a start asks only for what has changed: a whole list for each of them keeps it busy
-    // for seconds in which no other call is answered.
-    let since = config.cached_list.as_ref().filter(|_| share_much && zone.is_none()).map(|k| k.generation);
-    if let Some(known) = zone.as_ref().map(|z| z.zone.endpoints(&z.names).0).or(config.cached_list) {
-        module.known(known);
+    // In a large fleet a starting process asks only for changes: sending a complete list to each keeps
+    // discovery busy for
+    // seconds, in which it answers no other call.
+    let known_generation =
+        config.cached_list.as_ref().filter(|_| large_fleet && zone.is_none()).map(|k| k.generation);
+    if let Some(cached_list) = zone.as_ref().map(|z| z.zone.endpoints(&z.names).0).or(config.cached_list) {
+        core.load_cached_list(cached_list);
     }
-    // An id that came to an earlier process could still run.
+    // A message with a request id that an earlier process received may still run.
     let now = shared.clock.now();
     for record in &scan.records {
-        if let Record::Accepted(t) = record
-            && t.deadline > now
+        if let Record::Accepted(message) = record
+            && message.deadline > now
         {
-            module.ledger.remember_request_id(now, &t.request_id);
+            core.ledger.remember_request_id(now, &message.request_id);
         }
     }
-    module.knows(&scan.records);
-    module.resume(recover(scan.records).into_values());
+    core.note_logged_messages(&scan.records);
+    core.resume(recover(scan.records).into_values());
     if config.lists_pushed && zone.is_none() {
-        module.first_list = Some(FirstList::new(now));
-        let _ = module.follow.try_send(());
+        core.first_list = Some(FirstListHold::new(now));
+        let _ = core.list_requests.try_send(());
     }
-    // A process that ended beside another one, both of which are gone.
-    let other =
-        claim.other().map_err(|e| format!("cannot lock the log in {}: {e}", claim.folder.display()))?;
-    let other_is_there = matches!(other, Other::Held);
-    if other_is_there {
-        let [waits, _] = claim.waits();
-        module.beside = Some(Beside::newcomer(now, waits));
+    // Another process may have ended while this forwarder's two processes ran, and left its log behind.
+    let sibling_state =
+        claim.check_other().map_err(|e| format!("cannot lock the log in {}: {e}", claim.folder.display()))?;
+    let sibling_running = matches!(sibling_state, OtherProcess::Running);
+    if sibling_running {
+        let [waits, _] = claim.waits_files();
+        core.sibling = Some(SiblingLink::for_starting(now, waits));
         shared.taking_over.set(true);
     }
-    if let Other::Free(left) = other {
-        module.adopt(&left);
+    if let OtherProcess::Gone(orphaned) = sibling_state {
+        core.try_take_over_log(&orphaned);
     } else {
-        module.seen.clear();
+        core.logged_keys.clear();
     }
-    // The new log says what is owed as this process knows it, and nothing of the damage. Of what is over it says nothing
-    // either, so it comes after the look at the other log.
-    if let Err(e) = module.wal.compact(module.ledger.open_messages()) {
-        tracing::error!("log: {e}");
+    // The rewritten log holds the open messages as this process knows them, without the damaged bytes. It
+    // does not name ended
+    // messages, so it is written only after the other log has been compared.
+    if let Err(e) = core.wal.compact(core.ledger.open_messages()) {
+        tracing::error!("log: it could not be rewritten at the start, and the old one is continued: {e}");
     }
-    let wait = if ask_every > Micros(0) { Micros(ask_every.0 / 2) } else { Micros(5_000_000) };
+    let watch_wait = if poll_interval > Micros(0) { Micros(poll_interval.0 / 2) } else { Micros(5_000_000) };
     let discovery = DiscoveryParams {
         names: config.names,
-        generation: since,
-        large_fleet: !asks_twice,
+        generation: known_generation,
+        large_fleet: !two_calls_fit,
         lists_pushed: config.lists_pushed,
         bounds,
-        watch_wait: wait.clamp(Micros(1_000_000), list::MAX_WATCH_WAIT),
+        watch_wait: watch_wait.clamp(Micros(1_000_000), list::MAX_WATCH_WAIT),
     };
     if let Some(dns) = zone {
-        let at = dns.socket.get_ref().local_addr().map_err(|e| e.to_string())?;
-        tracing::info!("listens on {at} for DNS");
-        executor.spawn(dns::run(shared.clone(), dns, wishes)).detach();
+        let address = dns.socket.get_ref().local_addr().map_err(|e| e.to_string())?;
+        tracing::info!("listens on {address} for DNS");
+        executor.spawn(dns::run(shared.clone(), dns, list_request_inbox)).detach();
     } else {
-        executor.spawn(list::run(shared.clone(), discovery, wishes, list_moves, list_letters)).detach();
+        executor
+            .spawn(list::run(
+                shared.clone(),
+                discovery,
+                list_request_inbox,
+                list_source_changes,
+                list_updates,
+            ))
+            .detach();
     }
-    executor.spawn(notices::run(shared.clone(), endings, notice_moves)).detach();
-    executor.spawn(module.run(module_inbox)).detach();
+    executor.spawn(notices::run(shared.clone(), http_notice_inbox, notice_target_changes)).detach();
+    executor.spawn(core.run(core_inbox)).detach();
 
-    let claim_folder = claim.folder.clone();
-    let upgrades = config.mgmt.is_some();
-    executor.spawn(sibling::follow(shared.clone(), claim, other_is_there, upgrades)).detach();
-    let listener = door(config.listen, other_is_there)
+    let state_folder = claim.folder.clone();
+    let upgrades_expected = config.mgmt.is_some();
+    executor.spawn(sibling::watch(shared.clone(), claim, sibling_running, upgrades_expected)).detach();
+    let listener = client_listener(config.listen, sibling_running)
         .and_then(Async::new)
         .map_err(|e| format!("cannot listen on {}: {e}", config.listen))?;
-    let at = listener.get_ref().local_addr().map_err(|e| e.to_string())?;
-    let (open, door_shut) = bounded::<()>(1);
-    executor.spawn(inbound::listen(shared.clone(), listener, door_shut.clone())).detach();
+    let address = listener.get_ref().local_addr().map_err(|e| e.to_string())?;
+    let (accepting, accepting_ended) = bounded::<()>(1);
+    executor.spawn(inbound::listen(shared.clone(), listener, accepting_ended.clone())).detach();
     let (receipts, sessions) = bounded(256);
-    executor.spawn(smpp::receipts::run(shared.clone(), smpp_endings, sessions)).detach();
+    executor.spawn(smpp::receipts::run(shared.clone(), smpp_notice_inbox, sessions)).detach();
     if let Some(smpp) = smpp {
         let address = smpp.listen;
         let listener = Async::<TcpListener>::bind(address)
             .map_err(|e| format!("cannot listen on {address} for SMPP: {e}"))?;
-        let at = listener.get_ref().local_addr().map_err(|e| e.to_string())?;
-        let front = Rc::new(smpp::inbound::Frontend { shared: shared.clone(), smpp, give_up, receipts });
-        executor.spawn(smpp::inbound::listen(front, listener, door_shut)).detach();
-        tracing::info!("listens on {at} for SMPP");
+        let address = listener.get_ref().local_addr().map_err(|e| e.to_string())?;
+        let frontend = Rc::new(smpp::inbound::Frontend {
+            shared: shared.clone(),
+            smpp,
+            give_up: give_up_after,
+            receipts,
+        });
+        executor.spawn(smpp::inbound::listen(frontend, listener, accepting_ended)).detach();
+        tracing::info!("listens on {address} for SMPP");
     }
     if let Some(address) = config.mgmt {
         let listener = Async::<TcpListener>::bind(address)
             .map_err(|e| format!("cannot listen on {address} for operators: {e}"))?;
-        let at = listener.get_ref().local_addr().map_err(|e| e.to_string())?;
+        let address = listener.get_ref().local_addr().map_err(|e| e.to_string())?;
         executor.spawn(mgmt::listen(shared.clone(), listener)).detach();
-        executor.spawn(maintenance::follow(shared.clone(), claim_folder)).detach();
-        tracing::info!("listens on {at} for operators");
+        executor.spawn(maintenance::watch(shared.clone(), state_folder)).detach();
+        tracing::info!("listens on {address} for operators");
     }
-    tracing::info!("listens on {at}");
+    tracing::info!("listens on {address}");
 
     while let Some(Ok(Signal::Hup)) = signals.next().await {
-        if reload(&shared, &mut held, &product, reread).await {
-            let _ = move_list.try_send(());
-            let _ = move_notices.try_send(());
+        if reload(&shared, &mut current_config, &product, reread).await {
+            let _ = list_source_changed.try_send(());
+            let _ = notice_target_changed.try_send(());
         }
     }
-    let told = Instant::now();
+    let terminated_at = Instant::now();
     shared.stopping.set(true);
-    Timer::after(ACCEPT_FOR).await;
-    drop((open, ending));
-    Timer::at(told + SEND_FOR).await;
-    let (quiet, is_quiet) = bounded(1);
-    let _ = to_module.send(CoreMessage::StopSending).await;
-    let _ = to_module.send(CoreMessage::NotifyWhenNoCalls(quiet)).await;
-    let calls_end = async { is_quiet.recv().await.unwrap_or_default() };
-    let in_time = async {
-        Timer::at(told + END_BY).await;
+    Timer::after(ACCEPT_AFTER_SIGTERM).await;
+    drop((accepting, shutdown_signal));
+    Timer::at(terminated_at + SEND_AFTER_SIGTERM).await;
+    let (no_calls, no_calls_left) = bounded(1);
+    let _ = to_core.send(CoreMessage::StopSending).await;
+    let _ = to_core.send(CoreMessage::NotifyWhenNoCalls(no_calls)).await;
+    let calls_end = async { no_calls_left.recv().await.unwrap_or_default() };
+    let exit_deadline = async {
+        Timer::at(terminated_at + EXIT_AFTER_SIGTERM).await;
     };
-    future::or(calls_end, in_time).await;
+    future::or(calls_end, exit_deadline).await;
     if let Some(peers) = &shared.peers {
-        let (left, has_left) = bounded(1);
-        let _ = peers.try_send(ToPeers::Leave(left));
-        let said = async { has_left.recv().await.unwrap_or_default() };
-        future::or(said, async {
+        let (leave_done, has_left) = bounded(1);
+        let _ = peers.try_send(ToPeers::Leave(leave_done));
+        let leave_sent = async { has_left.recv().await.unwrap_or_default() };
+        future::or(leave_sent, async {
             Timer::after(Duration::from_millis(50)).await;
         })
         .await;
     }
-    // Who was accepted just before the listener closed is answered, or has said nothing in time.
-    while shared.counters.inbound_open.get() > 0 && told.elapsed() < END_BY {
-        Timer::after(LOOK).await;
+    // A connection accepted just before the listener closed is still served, until its client has been silent
+    // for too long.
+    while shared.counters.inbound_open.get() > 0 && terminated_at.elapsed() < EXIT_AFTER_SIGTERM {
+        Timer::after(CONNECTION_CHECK_INTERVAL).await;
     }
-    drop(closing);
-    // Ends that came last are still on their way to the platform.
+    drop(calls_finished_signal);
+    // The last status notices are still on their way to the platform.
     Timer::after(Duration::from_millis(100)).await;
-    let (look, looked) = bounded(1);
-    let _ = to_module.send(CoreMessage::FinalCheck(look)).await;
-    let _ = looked.recv().await;
+    let (check_done, checked) = bounded(1);
+    let _ = to_core.send(CoreMessage::FinalCheck(check_done)).await;
+    let _ = checked.recv().await;
     tracing::info!("counters {}", shared.counters_json());
     Ok(())
 }
 
-/// Where clients connect. Another process of this forwarder may listen there as well, to take over from this one; anybody
-/// else who does is a fault, which shows as long as nobody of ours does.
-fn door(at: SocketAddr, beside: bool) -> std::io::Result<TcpListener> {
-    if !beside {
-        drop(TcpListener::bind(at)?);
+/// Opens the listener for clients. A sibling process may listen on the same address, to take over. Any other
+/// listener there
+/// is a configuration error, which is detected as long as no sibling runs.
+fn client_listener(address: SocketAddr, sibling_running: bool) -> std::io::Result<TcpListener> {
+    if !sibling_running {
+        drop(TcpListener::bind(address)?);
     }
-    let family = if at.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
+    let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
     let socket = socket_with(family, SocketType::STREAM, SocketFlags::CLOEXEC, None)?;
     set_socket_reuseaddr(&socket, true)?;
-    // Where the system does not know it there is one process at a time, as before.
+    // Without SO_REUSEPORT only one process can run at a time.
     let _ = set_socket_reuseport(&socket, true);
-    bind(&socket, &at)?;
+    bind(&socket, &address)?;
     listen_at(&socket, 1024)?;
     Ok(TcpListener::from(socket))
 }
 
-/// Keys for members hold at once; what else differs in our own file is named.
-fn reload_product(shared: &SharedState, ours: &ProductSettings, new: &ProductSettings) {
-    if let (Some(peers), Some(d)) = (&shared.peers, &new.duties) {
-        let _ = peers.try_send(ToPeers::Rekey(d.keys.clone()));
+/// Applies new member keys at once, and logs which other changes of the product file wait for a restart.
+fn reload_product(shared: &SharedState, current: &ProductSettings, new: &ProductSettings) {
+    if let (Some(peers), Some(duty_settings)) = (&shared.peers, &new.duties) {
+        let _ = peers.try_send(ToPeers::Rekey(duty_settings.keys.clone()));
         tracing::info!(
             "reload: members sign with key {}, {} are believed",
-            d.keys.signing_key_id(),
-            d.keys.accepted_count()
+            duty_settings.keys.signing_key_id(),
+            duty_settings.keys.accepted_count()
         );
     }
-    let differs = match (&ours.duties, &new.duties) {
-        (Some(ours), Some(new)) => ours.requires_restart(new),
-        (ours, new) => ours.is_some() != new.is_some(),
+    let differs = match (&current.duties, &new.duties) {
+        (Some(current), Some(new)) => current.requires_restart(new),
+        (current, new) => current.is_some() != new.is_some(),
     };
-    if (ours.list, ours.idle) != (new.list, new.idle) {
-        tracing::warn!("reload: [list] and [idle] will hold from the next start on");
+    if (current.list, current.idle) != (new.list, new.idle) {
+        tracing::warn!("reload: changes of [list] and [idle] take effect at the next start");
     }
     if differs {
-        tracing::warn!("reload: [duties] but for its keys will hold from the next start on");
+        tracing::warn!("reload: changes of [duties] other than its keys take effect at the next start");
     }
 }
 
-/// Reads the file, over a moment in which the system has no descriptor for it.
-async fn read_again(reread: Reread<'_>) -> Result<(Config, ProductSettings), ReadError> {
+/// Reads the configuration, with retries while the system cannot open the file.
+async fn read_with_retries(reread: Reread<'_>) -> Result<(Config, ProductSettings), ReadError> {
     for _ in 0..REREAD_TRIES {
         match reread() {
-            Err(ReadError::Unreadable(_)) => Timer::after(REREAD_EVERY).await,
+            Err(ReadError::Unreadable(_)) => Timer::after(REREAD_INTERVAL).await,
             read => return read,
         };
     }
     reread()
 }
 
-/// Reads the file again, and has all of it hold that can while this process runs. True if discovery has moved. What cannot
-/// be read, or is not whole, changes nothing.
-async fn reload(shared: &SharedState, held: &mut Config, ours: &ProductSettings, reread: Reread<'_>) -> bool {
-    let read = read_again(reread).await.map_err(String::from);
-    let read = read.and_then(|(new, product)| held.check_reload(&new).map(|()| (new, product)));
+/// Reloads the configuration and applies the settings that can change at run time. Returns true if discovery
+/// may have
+/// moved. A configuration that cannot be read or is invalid changes nothing.
+async fn reload(
+    shared: &SharedState, current_config: &mut Config, current: &ProductSettings, reread: Reread<'_>,
+) -> bool {
+    let read = read_with_retries(reread).await.map_err(String::from);
+    let read = read.and_then(|(new, product)| current_config.check_reload(&new).map(|()| (new, product)));
     let (new, product) = match read {
         Ok(read) => read,
         Err(e) => {
@@ -398,21 +458,21 @@
             return false;
         }
     };
-    reload_product(shared, ours, &product);
+    reload_product(shared, current, &product);
     shared.counters.reloads.increment();
-    let late = held.restart_only_differences(&new);
-    if !late.is_empty() {
-        tracing::warn!("reload: {} will hold from the next start on", late.join(", "));
+    let restart_only = current_config.restart_only_differences(&new);
+    if !restart_only.is_empty() {
+        tracing::warn!("reload: changes of {} take effect at the next start", restart_only.join(", "));
     }
-    // The same address may be another discovery, too.
+    // The same address may belong to another discovery server now.
     shared.discovery.set(new.discovery);
     tracing::info!("reload: discovery is at {}", new.discovery);
     let Config { settings, names, .. } = new.clone();
-    let live = Box::new(LiveSettings { settings, names });
-    let _ = shared.core.send(CoreMessage::NewSettings(live)).await;
-    // What waits for the next start is compared with what this one had.
-    let Config { discovery, required_values: file, .. } = new;
-    (held.discovery, held.required_values) = (discovery, file);
+    let new_settings = Box::new(LiveSettings { settings, names });
+    let _ = shared.core.send(CoreMessage::NewSettings(new_settings)).await;
+    // Restart-only settings are always compared with those of the start.
+    let Config { discovery, required_values, .. } = new;
+    (current_config.discovery, current_config.required_values) = (discovery, required_values);
     true
 }
 
--- a/daemon/src/shared_waits.rs
+++ b/daemon/src/shared_waits.rs
@@ -1,49 +1,54 @@
-//! Waits that endpoints have told one process of a forwarder, and drains that discovery has, for the other one beside it: to
-//! the rules both are one sender, and what one was told binds both.
+//! The waits files, in which the two processes of a forwarder share the retry-afters that endpoints have sent
+//! and the drains
+//! that discovery has reported. The rules count both processes as one sender, so what one has been told binds
+//! both.
 //!
-//! While there are two, each appends what it is told to a file at its own place in the folder, after all that it knew
-//! before, and reads the other's. Times are those of the boot-time clock, which both read alike whatever the wall clock does.
+//! While both run, each appends what it learns to its own file in the state folder, behind a snapshot of all
+//! that it knew
+//! before, and reads the other's file. Times are those of the boot-time clock, which both read alike whatever
+//! the wall clock
+//! does.
 
 use crate::clock::Clock;
-use crate::state_folder::remove;
+use crate::state_folder::remove_if_exists;
 use onyxrock::interface::Micros;
 use std::fs::File;
 use std::io::{self, ErrorKind, Read, Seek, SeekFrom, Write};
 use std::path::PathBuf;
 
-/// Behind all waits that a process knew when the other one came.
+/// Line that ends the snapshot of what a process knew when the other one started.
 const END_OF_SNAPSHOT: &str = ".";
-/// The first word of a line that tells of a drain.
-const DRAINS: &str = "drains";
-/// A longer file is begun anew.
-const BYTES_MOST: u64 = 64 * 1024;
+/// The first word of a line that reports a drain.
+const DRAIN_KEYWORD: &str = "drains";
+/// A file longer than this is rewritten.
+const MAX_FILE_BYTES: u64 = 64 * 1024;
 
-/// A wait that an endpoint told.
+/// A retry-after that an endpoint sent.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct ToldWait {
+pub struct SharedRetryAfter {
     pub endpoint: String,
-    /// Nothing may go there before, by this process's clock.
+    /// No call may be sent to the endpoint before this time of the own clock.
     pub until: Micros,
 }
 
-/// A list said that an endpoint drains or is gone.
+/// An endpoint that a list reports as draining or gone.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct ToldDrain {
+pub struct SharedDrain {
     pub endpoint: String,
-    /// The version of the list.
+    /// The generation of that list.
     pub generation: u64,
 }
 
-/// What is read of the other process's file.
+/// An entry of the other process's file.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub enum Shared {
-    Wait(ToldWait),
-    Drain(ToldDrain),
-    /// All that it knew before has been read.
+pub enum SiblingEntry {
+    RetryAfter(SharedRetryAfter),
+    Drain(SharedDrain),
+    /// The snapshot is complete.
     EndOfSnapshot,
 }
 
-/// The file of this process.
+/// Writes the file of this process, and removes it when dropped.
 #[derive(Debug)]
 pub struct WaitWriter {
     path: PathBuf,
@@ -52,19 +57,21 @@
 }
 
 impl WaitWriter {
-    pub fn at(path: PathBuf) -> WaitWriter {
+    pub fn new(path: PathBuf) -> WaitWriter {
         WaitWriter { path, file: None, bytes: 0 }
     }
 
-    /// The file has to be begun anew: it is not there, too long, or could not be written.
-    pub fn wants_snapshot(&self) -> bool {
-        self.file.is_none() || self.bytes > BYTES_MOST
+    /// Whether the file has to be rewritten: it does not exist, is too long, or could not be written.
+    pub fn needs_snapshot(&self) -> bool {
+        self.file.is_none() || self.bytes > MAX_FILE_BYTES
     }
 
-    /// Begins the file anew, with all that is known.
-    pub fn snapshot(&mut self, clock: &Clock, waits: &[ToldWait], drains: &[ToldDrain]) -> io::Result<()> {
+    /// Rewrites the file with all that is known.
+    pub fn write_snapshot(
+        &mut self, clock: &Clock, waits: &[SharedRetryAfter], drains: &[SharedDrain],
+    ) -> io::Result<()> {
         self.file = None;
-        let mut text: String = waits.iter().map(|wait| line(clock, wait)).collect();
+        let mut text: String = waits.iter().map(|wait| retry_after_line(clock, wait)).collect();
         text.extend(drains.iter().map(drain_line));
         text += &format!("{END_OF_SNAPSHOT}\n");
         let mut file = File::create(&self.path)?;
@@ -73,13 +80,13 @@
         Ok(())
     }
 
-    /// Adds a wait.
-    pub fn add(&mut self, clock: &Clock, wait: &ToldWait) -> io::Result<()> {
-        self.append(&line(clock, wait))
+    /// Appends a retry-after.
+    pub fn append_retry_after(&mut self, clock: &Clock, wait: &SharedRetryAfter) -> io::Result<()> {
+        self.append(&retry_after_line(clock, wait))
     }
 
-    /// Adds a drain.
-    pub fn add_drain(&mut self, drain: &ToldDrain) -> io::Result<()> {
+    /// Appends a drain.
+    pub fn append_drain(&mut self, drain: &SharedDrain) -> io::Result<()> {
         self.append(&drain_line(drain))
     }
 
@@ -96,20 +103,20 @@
 
 impl Drop for WaitWriter {
     fn drop(&mut self) {
-        let _ = remove(&self.path);
+        let _ = remove_if_exists(&self.path);
     }
 }
 
-fn line(clock: &Clock, wait: &ToldWait) -> String {
-    let left = wait.until.since(clock.now());
-    format!("{} {}\n", Clock::boot_time().plus(left).0, wait.endpoint)
+fn retry_after_line(clock: &Clock, wait: &SharedRetryAfter) -> String {
+    let time_left = wait.until.since(clock.now());
+    format!("{} {}\n", Clock::boot_time().plus(time_left).0, wait.endpoint)
 }
 
-fn drain_line(drain: &ToldDrain) -> String {
-    format!("{DRAINS} {} {}\n", drain.generation, drain.endpoint)
+fn drain_line(drain: &SharedDrain) -> String {
+    format!("{DRAIN_KEYWORD} {} {}\n", drain.generation, drain.endpoint)
 }
 
-/// The file of the other process, as far as it has been read.
+/// Reads the file of the other process.
 #[derive(Debug)]
 pub struct WaitReader {
     path: PathBuf,
@@ -117,26 +124,26 @@
 }
 
 impl WaitReader {
-    pub fn at(path: PathBuf) -> WaitReader {
+    pub fn new(path: PathBuf) -> WaitReader {
         WaitReader { path, offset: 0 }
     }
 
-    /// What has come since the last look.
-    pub fn read(&mut self, clock: &Clock) -> io::Result<Vec<Shared>> {
-        let bytes = match self.read_on() {
+    /// Returns the entries added since the last call. Lines that cannot be parsed are skipped.
+    pub fn read(&mut self, clock: &Clock) -> io::Result<Vec<SiblingEntry>> {
+        let bytes = match self.read_rest() {
             Err(e) if e.kind() == ErrorKind::NotFound => return Ok(Vec::new()),
             bytes => bytes?,
         };
-        // Half a line is read again.
-        let whole = bytes.iter().rposition(|b| *b == b'\n').map_or(0, |end| end + 1);
-        self.offset += whole as u64;
-        let text = String::from_utf8_lossy(&bytes[..whole]);
+        // An incomplete line is read again later.
+        let complete_bytes = bytes.iter().rposition(|b| *b == b'\n').map_or(0, |end| end + 1);
+        self.offset += complete_bytes as u64;
+        let text = String::from_utf8_lossy(&bytes[..complete_bytes]);
         Ok(text.lines().filter_map(|line| parse(clock, line)).collect())
     }
 
-    fn read_on(&mut self) -> io::Result<Vec<u8>> {
+    fn read_rest(&mut self) -> io::Result<Vec<u8>> {
         let mut file = File::open(&self.path)?;
-        // One that is shorter was begun anew.
+        // A file shorter than before has been rewritten.
         if file.metadata()?.len() < self.offset {
             self.offset = 0;
         }
@@ -147,19 +154,20 @@
     }
 }
 
-fn parse(clock: &Clock, line: &str) -> Option<Shared> {
+fn parse(clock: &Clock, line: &str) -> Option<SiblingEntry> {
     if line == END_OF_SNAPSHOT {
-        return Some(Shared::EndOfSnapshot);
+        return Some(SiblingEntry::EndOfSnapshot);
     }
     let (until, endpoint) = line.split_once(' ')?;
-    if until == DRAINS {
+    if until == DRAIN_KEYWORD {
         let (generation, endpoint) = endpoint.split_once(' ')?;
         let (endpoint, generation) = (endpoint.to_owned(), generation.parse().ok()?);
-        return Some(Shared::Drain(ToldDrain { endpoint, generation }));
+        return Some(SiblingEntry::Drain(SharedDrain { endpoint, generation }));
     }
-    let left = Micros(until.parse().ok()?).since(Clock::boot_time());
-    let until = clock.now().plus(left);
-    (left > Micros(0)).then(|| Shared::Wait(ToldWait { endpoint: endpoint.to_owned(), until }))
+    let time_left = Micros(until.parse().ok()?).since(Clock::boot_time());
+    let until = clock.now().plus(time_left);
+    (time_left > Micros(0))
+        .then(|| SiblingEntry::RetryAfter(SharedRetryAfter { endpoint: endpoint.to_owned(), until }))
 }
 
 #[cfg(test)]
--- a/daemon/src/sibling.rs
+++ b/daemon/src/sibling.rs
@@ -1,96 +1,103 @@
-//! Looks whether another process of this forwarder is beside this one: what it tells of waits, and what it owes once it is
+//! Watches for a sibling process: forwards the entries of its waits file, and hands over its log once it is
 //! gone.
 
 use crate::core_actor::CoreMessage;
 use crate::net::SharedState;
 use crate::shared_waits::WaitReader;
-use crate::state_folder::{Claim, Left, Other, remove};
+use crate::state_folder::{Claim, OrphanedLog, OtherProcess, remove_if_exists};
 use async_io::Timer;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often a process looks whether another one is there, where no upgrade is to be expected ...
-const LOOK: Duration = Duration::from_secs(2);
-/// ... and where one is: the newcomer waits for what is known here.
-const LOOK_FOR_UPGRADE: Duration = Duration::from_millis(50);
-/// Calls that cross the answer which tells a wait pass for a tenth of a second: the other process knows it well before.
-const LOOK_BESIDE: Duration = Duration::from_millis(20);
+/// Interval between checks for a sibling where upgrades_expected with two processes are not expected, since operators
+/// cannot call.
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
+/// Interval between these checks where they are: a starting process waits for what this one knows.
+const UPGRADE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between reads of the sibling's waits file. A call that crosses the response with a retry-after is
+/// allowed for a
+/// tenth of a second (100 ms); the sibling learns of the retry-after well before.
+const WAITS_READ_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Runs for as long as the process: its place is its own until then.
-pub async fn follow(shared: Rc<SharedState>, claim: Claim, other_is_there: bool, upgrades: bool) {
-    let follower = Follower { shared, claim, waits: None };
-    follower.run(other_is_there, upgrades).await;
+/// Watches until the process ends, and keeps the process's claim until then.
+pub async fn watch(shared: Rc<SharedState>, claim: Claim, sibling_running: bool, upgrades_expected: bool) {
+    let watcher = SiblingWatcher { shared, claim, waits_reader: None };
+    watcher.run(sibling_running, upgrades_expected).await;
 }
 
-struct Follower {
+struct SiblingWatcher {
     shared: Rc<SharedState>,
     claim: Claim,
-    /// While another process is there.
-    waits: Option<WaitReader>,
+    /// Set while a sibling runs.
+    waits_reader: Option<WaitReader>,
 }
 
-impl Follower {
-    async fn run(mut self, other_is_there: bool, upgrades: bool) {
-        if other_is_there {
-            self.waits = Some(self.reader());
+impl SiblingWatcher {
+    async fn run(mut self, sibling_running: bool, upgrades_expected: bool) {
+        if sibling_running {
+            self.waits_reader = Some(self.open_reader());
         }
         loop {
-            Timer::after(self.pause(upgrades)).await;
-            match self.claim.other() {
-                Ok(Other::Held) => self.is_there().await,
-                Ok(Other::Free(left)) => self.is_gone(left).await,
-                Err(e) => tracing::warn!("log: cannot look at another process's: {e}"),
+            Timer::after(self.check_interval(upgrades_expected)).await;
+            match self.claim.check_other() {
+                Ok(OtherProcess::Running) => self.on_running().await,
+                Ok(OtherProcess::Gone(orphaned)) => self.on_gone(orphaned).await,
+                Err(e) => tracing::warn!("log: cannot check for another process, will be retried: {e}"),
             }
         }
     }
 
-    fn pause(&self, upgrades: bool) -> Duration {
-        match (&self.waits, upgrades) {
-            (Some(_), _) => LOOK_BESIDE,
-            (None, true) => LOOK_FOR_UPGRADE,
-            (None, false) => LOOK,
+    fn check_interval(&self, upgrades_expected: bool) -> Duration {
+        match (&self.waits_reader, upgrades_expected) {
+            (Some(_), _) => WAITS_READ_INTERVAL,
+            (None, true) => UPGRADE_CHECK_INTERVAL,
+            (None, false) => CHECK_INTERVAL,
         }
     }
 
-    fn reader(&self) -> WaitReader {
-        let [_, others] = self.claim.waits();
-        WaitReader::at(others)
+    fn open_reader(&self) -> WaitReader {
+        let [_, sibling_path] = self.claim.waits_files();
+        WaitReader::new(sibling_path)
     }
 
-    async fn is_there(&mut self) {
-        if self.waits.is_none() {
-            let [own, _] = self.claim.waits();
-            self.waits = Some(self.reader());
+    /// Handles the presence of a sibling.
+    async fn on_running(&mut self) {
+        if self.waits_reader.is_none() {
+            let [own_path, _] = self.claim.waits_files();
+            self.waits_reader = Some(self.open_reader());
             tracing::info!("another process of this forwarder is there");
-            let _ = self.shared.core.send(CoreMessage::SiblingChanged(Some(own))).await;
+            let _ = self.shared.core.send(CoreMessage::SiblingChanged(Some(own_path))).await;
         }
-        self.hear().await;
+        self.forward_entries().await;
     }
 
-    /// Passes on what the other process has told since the last look.
-    async fn hear(&mut self) {
-        let Some(reader) = &mut self.waits else { return };
+    /// Forwards the entries that the sibling has added since the last read.
+    async fn forward_entries(&mut self) {
+        let Some(reader) = &mut self.waits_reader else { return };
         match reader.read(&self.shared.clock) {
-            Ok(told) => {
-                for one in told {
-                    let _ = self.shared.core.send(CoreMessage::FromSibling(one)).await;
+            Ok(entries) => {
+                for entry in entries {
+                    let _ = self.shared.core.send(CoreMessage::FromSibling(entry)).await;
                 }
             }
-            Err(e) => tracing::warn!("waits: the other process's cannot be read: {e}"),
+            Err(e) => {
+                tracing::warn!("waits: the file of the other process cannot be read, will be retried: {e}")
+            }
         }
     }
 
-    /// A process that ends itself leaves what the other one owed to the next.
-    async fn is_gone(&mut self, left: Left) {
-        // What it told before it was killed still binds.
-        self.hear().await;
-        if self.waits.take().is_some() {
-            let [_, others] = self.claim.waits();
-            let _ = remove(&others);
+    /// Handles the end of the sibling. If this process is shutting down as well, it leaves the sibling's log
+    /// to the next process.
+    async fn on_gone(&mut self, orphaned: OrphanedLog) {
+        // What the sibling wrote before it was killed still applies.
+        self.forward_entries().await;
+        if self.waits_reader.take().is_some() {
+            let [_, sibling_path] = self.claim.waits_files();
+            let _ = remove_if_exists(&sibling_path);
             let _ = self.shared.core.send(CoreMessage::SiblingChanged(None)).await;
         }
-        if left.is_there() && !self.shared.stopping.get() {
-            let _ = self.shared.core.send(CoreMessage::TakeOverLog(left)).await;
+        if orphaned.exists() && !self.shared.stopping.get() {
+            let _ = self.shared.core.send(CoreMessage::TakeOverLog(orphaned)).await;
         }
     }
 }
--- a/daemon/src/startup.rs
+++ b/daemon/src/startup.rs
@@ -1,7 +1,7 @@
-//! The folder that lasts, at a start.
+//! Opens the state folder at the start of a process.
 
 use crate::maintenance::MaintenanceFile;
-use crate::state_folder::{Claim, NoPlace, remove};
+use crate::state_folder::{Claim, ClaimError, remove_if_exists};
 use crate::wal::Wal;
 use async_io::Timer;
 use onyxrock::core::LogScan;
@@ -10,53 +10,56 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// A start waits so long for a folder that fails, and is ready within the 30 s that it has ...
-const FOLDER_FOR: Duration = Duration::from_secs(20);
-/// ... and looks so often.
-const FOLDER_AGAIN: Duration = Duration::from_millis(200);
+/// How long a start waits for a folder that fails. The process still becomes ready within the 30 s that it
+/// has.
+const FOLDER_TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval between attempts to open the folder.
+const FOLDER_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What a start finds in the folder.
+/// The opened state folder.
 #[derive(Debug)]
-pub struct Opened {
+pub struct OpenedState {
     pub claim: Claim,
     pub wal: Wal,
-    /// What the log says.
+    /// The content of the log.
     pub scan: LogScan,
-    /// Endpoints that operators have taken out.
-    pub maintenance: BTreeSet<String>,
+    /// Endpoints that operators have taken out of use.
+    pub in_maintenance: BTreeSet<String>,
 }
 
-/// Opens the log, and waits for a folder that fails: a start that went on without what it cannot read would lose it.
-pub async fn open_folder(folder: &Path, log_bytes: u64) -> Result<Opened, String> {
+/// Opens the log and the maintenance file. Waits for a folder that fails, since a start without the files
+/// that it cannot read
+/// would lose their content.
+pub async fn open_folder(folder: &Path, log_bytes: u64) -> Result<OpenedState, String> {
     let started = Instant::now();
-    let mut told = false;
+    let mut logged = false;
     loop {
-        let why = match Claim::take(folder) {
-            Err(NoPlace::Taken(why)) => return Err(why),
-            Err(NoPlace::Failed(why)) => why,
+        let reason = match Claim::acquire(folder) {
+            Err(ClaimError::InUse(reason)) => return Err(reason),
+            Err(ClaimError::Unusable(reason)) => reason,
             Ok(claim) => match open(claim, log_bytes) {
                 Ok(opened) => return Ok(opened),
                 Err(e) => format!("cannot open the log in {}: {e}", folder.display()),
             },
         };
-        if started.elapsed() > FOLDER_FOR {
-            return Err(why);
+        if started.elapsed() > FOLDER_TIMEOUT {
+            return Err(reason);
         }
-        if !told {
-            tracing::error!("{why}; the start waits for it");
-            told = true;
+        if !logged {
+            tracing::error!("{reason}; the start waits for the folder");
+            logged = true;
         }
-        Timer::after(FOLDER_AGAIN).await;
+        Timer::after(FOLDER_RETRY_INTERVAL).await;
     }
 }
 
-fn open(claim: Claim, log_bytes: u64) -> io::Result<Opened> {
-    let (wal, scan) = Wal::of(&claim, log_bytes)?;
-    let maintenance = MaintenanceFile::of(&claim.folder).load()?;
-    // What a process told that was killed at this place is no word of this one.
-    let [waits, _] = claim.waits();
-    remove(&waits)?;
-    Ok(Opened { claim, wal, scan, maintenance })
+fn open(claim: Claim, log_bytes: u64) -> io::Result<OpenedState> {
+    let (wal, scan) = Wal::open_claimed(&claim, log_bytes)?;
+    let in_maintenance = MaintenanceFile::new(&claim.folder).load()?;
+    // The waits file of an earlier process that was killed says nothing about this one.
+    let [waits_file, _] = claim.waits_files();
+    remove_if_exists(&waits_file)?;
+    Ok(OpenedState { claim, wal, scan, in_maintenance })
 }
 
 #[cfg(test)]
--- a/daemon/src/state_folder.rs
+++ b/daemon/src/state_folder.rs
@@ -1,6 +1,9 @@
-//! Who works in the folder that lasts: one process of a forwarder, or two while one takes over from the other.
+//! The state folder, which outlasts a process: one process of a forwarder works in it, or two during an
+//! upgrade.
 //!
-//! Each has a place, with a log and a lock that dies with its process; docs/design/upgrade.md says why.
+//! Each of the two has its own log, and its own lock, which is released when the process dies.
+//! docs/design/upgrade.md gives
+//! the reasons.
 
 use onyxrock::core::{LogScan, scan_log};
 use std::fs::{File, OpenOptions, TryLockError};
@@ -8,19 +11,27 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
+/// The names of the files of one process.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Place {
+pub struct ProcessFiles {
+    /// The write-ahead log.
     pub log: &'static str,
-    /// The next log, until it takes the place of that one.
+    /// The rewritten log, until it replaces `log`.
     pub new: &'static str,
     lock: &'static str,
-    /// What it tells the other place's process of waits.
+    /// The waits file: retry-afters and drains that the process shares with its sibling.
     pub waits: &'static str,
 }
 
-pub const PLACES: [Place; 2] = [
-    Place { log: "onyxrock.log", new: "onyxrock.log.new", lock: "onyxrock.lock", waits: "onyxrock.waits" },
-    Place {
+/// The file names of the two processes that may use a folder.
+pub const PROCESS_FILES: [ProcessFiles; 2] = [
+    ProcessFiles {
+        log: "onyxrock.log",
+        new: "onyxrock.log.new",
+        lock: "onyxrock.lock",
+        waits: "onyxrock.waits",
+    },
+    ProcessFiles {
         log: "onyxrock-2.log",
         new: "onyxrock-2.log.new",
         lock: "onyxrock-2.lock",
@@ -28,38 +39,42 @@
     },
 ];
 
-/// Whoever looks at the other place holds its lock for a moment; a process that starts just then tries again.
-const TRIES: u32 = 25;
-const AGAIN: Duration = Duration::from_millis(20);
+/// Attempts to lock the files of a process. A process that checks for its sibling holds the sibling's lock
+/// for a moment, so a
+/// process that starts just then has to retry.
+const LOCK_ATTEMPTS: u32 = 25;
+/// Interval between these attempts.
+const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A place in the folder that is this process's until it ends.
+/// The files of this process, locked until it ends.
 #[derive(Debug)]
 pub struct Claim {
     pub folder: PathBuf,
-    pub place: Place,
-    other: Place,
+    pub files: ProcessFiles,
+    other_files: ProcessFiles,
     _lock: File,
 }
 
-/// What is at the other place.
+/// The state of the sibling process.
 #[derive(Debug)]
-pub enum Other {
-    /// A process that lives.
-    Held,
-    /// Nobody. What a process left there is nobody's, as long as this is kept.
-    Free(Left),
+pub enum OtherProcess {
+    /// A process holds the sibling's lock.
+    Running,
+    /// No process does. While this is kept, no other process can claim the log that may have been left.
+    Gone(OrphanedLog),
 }
 
-/// What a process that is gone has left.
+/// The locked log of a process that is gone.
 #[derive(Debug)]
-pub struct Left {
+pub struct OrphanedLog {
     log: PathBuf,
     new: PathBuf,
     _lock: File,
 }
 
-fn lock(folder: &Path, place: Place) -> io::Result<Option<File>> {
-    let path = folder.join(place.lock);
+/// Locks the files of a process, unless another process holds them.
+fn lock(folder: &Path, files: ProcessFiles) -> io::Result<Option<File>> {
+    let path = folder.join(files.lock);
     let file = OpenOptions::new().write(true).create(true).truncate(false).open(path)?;
     match file.try_lock() {
         Ok(()) => Ok(Some(file)),
@@ -68,98 +83,105 @@
     }
 }
 
-/// What a file holds; one that is not there holds nothing.
-pub fn read(path: &Path) -> io::Result<Vec<u8>> {
+/// Reads a file; one that does not exist counts as empty.
+pub fn read_or_empty(path: &Path) -> io::Result<Vec<u8>> {
     std::fs::read(path).or_else(|e| if e.kind() == ErrorKind::NotFound { Ok(Vec::new()) } else { Err(e) })
 }
 
-/// Has a file be there no more.
-pub fn remove(path: &Path) -> io::Result<()> {
+/// Removes a file if it exists.
+pub fn remove_if_exists(path: &Path) -> io::Result<()> {
     std::fs::remove_file(path).or_else(|e| if e.kind() == ErrorKind::NotFound { Ok(()) } else { Err(e) })
 }
 
-/// Why a process has no place in the folder.
+/// Why a process cannot use the folder.
 #[derive(Debug)]
-pub enum NoPlace {
-    /// Two processes have them.
-    Taken(String),
-    /// The folder cannot be used, which may pass.
-    Failed(String),
+pub enum ClaimError {
+    /// Two processes use it already.
+    InUse(String),
+    /// The folder cannot be read or written, which may be temporary.
+    Unusable(String),
 }
 
-impl std::fmt::Display for NoPlace {
+impl std::fmt::Display for ClaimError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            NoPlace::Taken(why) | NoPlace::Failed(why) => f.write_str(why),
+            ClaimError::InUse(reason) | ClaimError::Unusable(reason) => f.write_str(reason),
         }
     }
 }
 
 impl Claim {
-    /// The first place that nobody has.
+    /// Claims the first set of files that no process holds.
     ///
     /// # Errors
-    /// One line: both are taken, or the folder cannot be used.
-    pub fn take(folder: &Path) -> Result<Claim, NoPlace> {
-        let shown = folder.display();
-        for _ in 0..TRIES {
-            for (place, other) in [(PLACES[0], PLACES[1]), (PLACES[1], PLACES[0])] {
-                let failed = |e| NoPlace::Failed(format!("cannot lock the log in {shown}: {e}"));
-                let locked = lock(folder, place).map_err(failed)?;
+    /// Both sets of files are held, or the folder cannot be used.
+    pub fn acquire(folder: &Path) -> Result<Claim, ClaimError> {
+        let folder_name = folder.display();
+        for _ in 0..LOCK_ATTEMPTS {
+            for (files, other_files) in
+                [(PROCESS_FILES[0], PROCESS_FILES[1]), (PROCESS_FILES[1], PROCESS_FILES[0])]
+            {
+                let unusable = |e| ClaimError::Unusable(format!("cannot lock the log in {folder_name}: {e}"));
+                let locked = lock(folder, files).map_err(unusable)?;
                 if let Some(lock) = locked {
-                    return Ok(Claim { folder: folder.into(), place, other, _lock: lock });
+                    return Ok(Claim { folder: folder.into(), files, other_files, _lock: lock });
                 }
             }
-            std::thread::sleep(AGAIN);
+            std::thread::sleep(LOCK_RETRY_INTERVAL);
         }
-        Err(NoPlace::Taken(format!("two processes use {shown} already")))
+        Err(ClaimError::InUse(format!("two processes use {folder_name} already")))
     }
 
-    /// Looks at the other place.
+    /// Checks whether a sibling process runs.
     ///
     /// # Errors
     /// The folder cannot be used.
-    pub fn other(&self) -> io::Result<Other> {
-        let at = |name| self.folder.join(name);
-        let left = |lock| Left { log: at(self.other.log), new: at(self.other.new), _lock: lock };
-        Ok(lock(&self.folder, self.other)?.map_or(Other::Held, |lock| Other::Free(left(lock))))
+    pub fn check_other(&self) -> io::Result<OtherProcess> {
+        let path = |name| self.folder.join(name);
+        let orphaned = |lock| OrphanedLog {
+            log: path(self.other_files.log),
+            new: path(self.other_files.new),
+            _lock: lock,
+        };
+        Ok(lock(&self.folder, self.other_files)?
+            .map_or(OtherProcess::Running, |lock| OtherProcess::Gone(orphaned(lock))))
     }
 
-    /// Where this process tells the other one of waits, and where that one does.
+    /// The waits files of this process and of its sibling.
     #[must_use]
-    pub fn waits(&self) -> [PathBuf; 2] {
-        [self.folder.join(self.place.waits), self.folder.join(self.other.waits)]
+    pub fn waits_files(&self) -> [PathBuf; 2] {
+        [self.folder.join(self.files.waits), self.folder.join(self.other_files.waits)]
     }
 
-    /// Where the other place's logs are: both have to fit in the folder.
+    /// The log files of the sibling. They share the space of the folder with those of this process.
     #[must_use]
-    pub fn beside(&self) -> [PathBuf; 2] {
-        [self.folder.join(self.other.log), self.folder.join(self.other.new)]
+    pub fn other_logs(&self) -> [PathBuf; 2] {
+        [self.folder.join(self.other_files.log), self.folder.join(self.other_files.new)]
     }
 }
 
-impl Left {
-    /// There is a log.
+impl OrphanedLog {
+    /// Whether there is a log.
     #[must_use]
-    pub fn is_there(&self) -> bool {
+    pub fn exists(&self) -> bool {
         self.log.exists()
     }
 
-    /// What it says.
+    /// Reads the log.
     ///
     /// # Errors
-    /// It cannot be read.
+    /// The log cannot be read.
     pub fn scan(&self) -> io::Result<LogScan> {
-        read(&self.log).map(|bytes| scan_log(&bytes))
+        read_or_empty(&self.log).map(|bytes| scan_log(&bytes))
     }
 
-    /// Somebody else has all of it now.
+    /// Removes the log, after its content has been taken over.
     ///
     /// # Errors
-    /// It is still there.
-    pub fn clear(&self) -> io::Result<()> {
-        remove(&self.log)?;
-        remove(&self.new)
+    /// The log could not be removed.
+    pub fn remove(&self) -> io::Result<()> {
+        remove_if_exists(&self.log)?;
+        remove_if_exists(&self.new)
     }
 }
 
--- a/daemon/src/state_folder/tests.rs
+++ b/daemon/src/state_folder/tests.rs
@@ -6,22 +6,26 @@
 fn two_have_a_place_each_and_a_third_has_none() {
     let folder = std::env::temp_dir().join(format!("onyxrock-folder-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let first = Claim::take(&folder).unwrap();
-    assert!(matches!(first.other(), Ok(Other::Free(_))));
-    let second = Claim::take(&folder).unwrap();
-    assert_eq!((first.place, second.place), (PLACES[0], PLACES[1]));
-    assert!(matches!(first.other(), Ok(Other::Held)));
-    let third = Claim::take(&folder).unwrap_err();
+    let first = Claim::acquire(&folder).unwrap();
+    assert!(matches!(first.check_other(), Ok(OtherProcess::Gone(_))));
+    let second = Claim::acquire(&folder).unwrap();
+    assert_eq!((first.files, second.files), (PROCESS_FILES[0], PROCESS_FILES[1]));
+    assert!(matches!(first.check_other(), Ok(OtherProcess::Running)));
+    let third = Claim::acquire(&folder).unwrap_err();
     assert!(third.to_string().contains("two processes"), "{third}");
-    std::fs::write(folder.join(PLACES[0].log), b"noise").unwrap();
+    std::fs::write(folder.join(PROCESS_FILES[0].log), b"noise").unwrap();
     drop(first);
-    let Ok(Other::Free(left)) = second.other() else { panic!("its process is gone") };
-    assert!(left.is_there());
-    assert_eq!(left.scan().unwrap().damaged_bytes, 5);
-    assert_eq!(lock(&folder, PLACES[0]).unwrap().map(drop), None, "it is nobody's while it is looked at");
-    left.clear().unwrap();
-    assert!(!left.is_there());
-    drop(left);
-    assert_eq!(Claim::take(&folder).unwrap().place, PLACES[0]);
+    let Ok(OtherProcess::Gone(orphaned)) = second.check_other() else { panic!("its process is gone") };
+    assert!(orphaned.exists());
+    assert_eq!(orphaned.scan().unwrap().damaged_bytes, 5);
+    assert_eq!(
+        lock(&folder, PROCESS_FILES[0]).unwrap().map(drop),
+        None,
+        "it is nobody's while it is looked at"
+    );
+    orphaned.remove().unwrap();
+    assert!(!orphaned.exists());
+    drop(orphaned);
+    assert_eq!(Claim::acquire(&folder).unwrap().files, PROCESS_FILES[0]);
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/daemon/src/wal.rs
+++ b/daemon/src/wal.rs
@@ -1,154 +1,173 @@
-//! The log in the folder that lasts. What write() has taken survives the process, so nothing is synced.
+//! The write-ahead log in the state folder. Data that write() has accepted survives the process, so it is not
+//! synced to disk.
 
 use crate::maintenance;
-use crate::state_folder::{Claim, PLACES, Place, read, remove};
+use crate::state_folder::{Claim, PROCESS_FILES, ProcessFiles, read_or_empty, remove_if_exists};
 use onyxrock::core::{LogScan, OpenMessage, Record, scan_log};
 use std::fs::{File, OpenOptions, rename};
 use std::io::{self, ErrorKind, Write};
 use std::path::{Path, PathBuf};
 
-/// Kept free for the records that follow a request which is already taken on.
-const RESERVE: u64 = 96 * 1024;
-/// A log is rewritten once it holds so much more than what is owed.
-const SLACK: u64 = 256 * 1024;
+/// Bytes kept free for the later records of messages that are already accepted.
+const FOLLOW_UP_RESERVE_BYTES: u64 = 96 * 1024;
+/// The log is rewritten once it exceeds twice the size of the open messages by this many bytes.
+const COMPACTION_SLACK_BYTES: u64 = 256 * 1024;
 
+/// The write-ahead log of this process.
 #[derive(Debug)]
 pub struct Wal {
     folder: PathBuf,
-    place: Place,
+    files: ProcessFiles,
     file: File,
     size: u64,
-    /// Bytes that log and new log may take together, with those of another process and what operators have taken out.
+    /// Bytes that the log and its rewritten copy may take, together with the sibling's logs and the
+    /// maintenance files.
     budget: u64,
-    beside: Vec<PathBuf>,
-    /// At this size it is worth asking how much of the log is owed, which takes a look at all that is held.
-    look_at: u64,
+    /// The other files that count against the budget.
+    other_files: Vec<PathBuf>,
+    /// Size at which the open messages are measured next, which requires a pass over all of them.
+    measure_at_size: u64,
+    /// How often the log has been rewritten.
     pub compactions: u64,
 }
 
 impl Wal {
-    /// Opens the log of the place that this process has.
-    pub fn of(claim: &Claim, budget: u64) -> io::Result<(Wal, LogScan)> {
-        let (wal, scan) = Wal::at(&claim.folder, claim.place, budget)?;
-        let beside = claim.beside().into_iter().chain(maintenance::files(&claim.folder)).collect();
-        Ok((Wal { beside, ..wal }, scan))
+    /// Opens the log that this process has claimed.
+    pub fn open_claimed(claim: &Claim, budget: u64) -> io::Result<(Wal, LogScan)> {
+        let (wal, scan) = Wal::open_files(&claim.folder, claim.files, budget)?;
+        let other_files = claim.other_logs().into_iter().chain(maintenance::files(&claim.folder)).collect();
+        Ok((Wal { other_files, ..wal }, scan))
     }
 
-    /// Opens the log of a folder where there is nobody else.
+    /// Opens the log of a folder that no other process uses.
     pub fn open(folder: &Path, budget: u64) -> io::Result<(Wal, LogScan)> {
-        Wal::at(folder, PLACES[0], budget)
+        Wal::open_files(folder, PROCESS_FILES[0], budget)
     }
 
-    /// Opens a log, made if there is none, and reads what an earlier process left in it.
-    fn at(folder: &Path, place: Place, budget: u64) -> io::Result<(Wal, LogScan)> {
-        // A new log that was not renamed yet says nothing that the old one does not.
-        remove(&folder.join(place.new))?;
-        let path = folder.join(place.log);
-        let bytes = read(&path)?;
+    /// Opens a log, created if there is none, and reads what an earlier process left in it.
+    fn open_files(folder: &Path, files: ProcessFiles, budget: u64) -> io::Result<(Wal, LogScan)> {
+        // A rewritten log that has not replaced the old one holds nothing that the old one does not.
+        remove_if_exists(&folder.join(files.new))?;
+        let path = folder.join(files.log);
+        let bytes = read_or_empty(&path)?;
         let file = OpenOptions::new().append(true).create(true).open(&path)?;
         let size = bytes.len() as u64;
-        // Files count in whole blocks: keep two of them and a little more out of it.
+        // Disk use counts in whole blocks, so a part of the budget that covers two of them and a little more
+        // stays unused.
         let budget = budget.saturating_sub(4096);
         Ok((
             Wal {
                 folder: folder.into(),
-                place,
+                files,
                 file,
                 size,
                 budget,
-                beside: Vec::new(),
-                look_at: SLACK,
+                other_files: Vec::new(),
+                measure_at_size: COMPACTION_SLACK_BYTES,
                 compactions: 0,
             },
             scan_log(&bytes),
         ))
     }
 
-    /// What else is in the folder.
-    fn beside(&self) -> u64 {
-        self.beside.iter().filter_map(|p| Some(p.metadata().ok()?.len())).sum()
+    /// Bytes that the other files take.
+    fn other_files_bytes(&self) -> u64 {
+        self.other_files.iter().filter_map(|p| Some(p.metadata().ok()?.len())).sum()
     }
 
-    /// The folder that lasts.
+    /// The state folder.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
+    /// The size of the log in bytes.
     pub fn size(&self) -> u64 {
         self.size
     }
 
-    /// Appends records as one write. `owed` is all that is owed before them: it is what a new log would hold.
-    /// A request is taken on only where the records that must follow it still fit.
+    /// Appends records in one write. `open_messages` yields all messages that are open before these records,
+    /// which is what a
+    /// rewritten log would hold. An acceptance is refused unless the records that must follow it still fit.
     pub fn append<'a>(
-        &mut self, records: &[Record], owed: impl Fn() -> Box<dyn Iterator<Item = &'a OpenMessage> + 'a>,
+        &mut self, records: &[Record],
+        open_messages: impl Fn() -> Box<dyn Iterator<Item = &'a OpenMessage> + 'a>,
     ) -> io::Result<()> {
         let mut bytes = Vec::new();
         records.iter().for_each(|r| r.write(&mut bytes));
-        let takes_on = records.iter().any(|r| matches!(r, Record::Accepted(_)));
-        let more = bytes.len() as u64;
-        let (twice, kept) = if takes_on { (more * 2, RESERVE) } else { (more, 0) };
-        if self.size > self.look_at || self.size + twice + kept > self.budget / 2 {
-            let live = live(owed()) + self.beside();
-            let tight = self.size + live + twice + kept > self.budget;
-            if tight || self.size > live * 2 + SLACK {
-                self.compact(owed())?;
+        let accepts = records.iter().any(|r| matches!(r, Record::Accepted(_)));
+        let record_bytes = bytes.len() as u64;
+        let (bytes_with_rewrite, reserved) =
+            if accepts { (record_bytes * 2, FOLLOW_UP_RESERVE_BYTES) } else { (record_bytes, 0) };
+        if self.size > self.measure_at_size || self.size + bytes_with_rewrite + reserved > self.budget / 2 {
+            let live_bytes = estimated_size(open_messages()) + self.other_files_bytes();
+            let over_budget = self.size + live_bytes + bytes_with_rewrite + reserved > self.budget;
+            if over_budget || self.size > live_bytes * 2 + COMPACTION_SLACK_BYTES {
+                self.compact(open_messages())?;
             }
-            self.look_at = self.size + SLACK / 8;
-            if self.size + live + twice + kept > self.budget {
-                return Err(io::Error::new(ErrorKind::StorageFull, "the log has no room"));
+            self.measure_at_size = self.size + COMPACTION_SLACK_BYTES / 8;
+            if self.size + live_bytes + bytes_with_rewrite + reserved > self.budget {
+                return Err(io::Error::new(
+                    ErrorKind::StorageFull,
+                    "the log has no room for more records within its disk budget",
+                ));
             }
         }
         if let Err(e) = self.file.write_all(&bytes) {
-            self.cut_back(more);
+            self.truncate_failed_write(record_bytes);
             return Err(e);
         }
-        self.size += more;
+        self.size += record_bytes;
         Ok(())
     }
 
-    /// A write of so many bytes failed, and some of it may be there. Half a frame is damage that a reader passes over, so it
-    /// is cut off if that can be. Where it stays, whatever comes behind it must not be cut off with it later.
-    fn cut_back(&mut self, more: u64) {
+    /// Handles a failed write of this many bytes, part of which may have reached the file. A reader skips an
+    /// incomplete record as
+    /// damage, so it is truncated if possible. If it cannot be truncated, the noted size includes it, so that
+    /// a later truncation
+    /// does not remove the records behind it.
+    fn truncate_failed_write(&mut self, record_bytes: u64) {
         if self.file.set_len(self.size).is_err() {
-            let most = self.size + more;
-            self.size = self.file.metadata().map_or(most, |file| file.len());
+            let largest_size = self.size + record_bytes;
+            self.size = self.file.metadata().map_or(largest_size, |file| file.len());
         }
     }
 
-    /// Writes what is owed to a new log, which then takes the place of the old one.
-    pub fn compact<'a>(&mut self, owed: impl Iterator<Item = &'a OpenMessage>) -> io::Result<()> {
+    /// Writes the open messages to a new log, which then replaces the old one.
+    pub fn compact<'a>(&mut self, open_messages: impl Iterator<Item = &'a OpenMessage>) -> io::Result<()> {
         let mut bytes = Vec::new();
-        owed.flat_map(OpenMessage::records).for_each(|r| r.write(&mut bytes));
-        if self.size + bytes.len() as u64 + self.beside() > self.budget {
-            return Err(io::Error::new(ErrorKind::StorageFull, "no room for a new log beside the old one"));
+        open_messages.flat_map(OpenMessage::records).for_each(|r| r.write(&mut bytes));
+        if self.size + bytes.len() as u64 + self.other_files_bytes() > self.budget {
+            return Err(io::Error::new(
+                ErrorKind::StorageFull,
+                "the disk budget has no room for a rewritten log other_files the old one",
+            ));
         }
-        let (new, path) = (self.folder.join(self.place.new), self.folder.join(self.place.log));
+        let (new, path) = (self.folder.join(self.files.new), self.folder.join(self.files.log));
         let mut file = OpenOptions::new().append(true).create_new(true).open(&new)?;
         if let Err(e) = file.write_all(&bytes).and_then(|()| rename(&new, &path)) {
             let _ = std::fs::remove_file(&new);
             return Err(e);
         }
         (self.file, self.size) = (file, bytes.len() as u64);
-        self.look_at = self.size + SLACK / 8;
+        self.measure_at_size = self.size + COMPACTION_SLACK_BYTES / 8;
         self.compactions += 1;
         Ok(())
     }
 }
 
-/// About what a new log would hold, rather too much than too little.
-fn live<'a>(owed: impl Iterator<Item = &'a OpenMessage>) -> u64 {
-    let one = |o: &OpenMessage| {
-        let t = &o.accepted;
-        t.body.len()
-            + t.request_id.len()
-            + t.idempotency_key.len()
-            + t.frontend_note.len()
-            + t.class.len()
-            + t.tenant.len()
+/// Estimates the size of a rewritten log, rather too high than too low.
+fn estimated_size<'a>(open_messages: impl Iterator<Item = &'a OpenMessage>) -> u64 {
+    let estimate = |open: &OpenMessage| {
+        let message = &open.accepted;
+        message.body.len()
+            + message.request_id.len()
+            + message.idempotency_key.len()
+            + message.frontend_note.len()
+            + message.class.len()
+            + message.tenant.len()
             + 320
     };
-    owed.map(|o| one(o) as u64).sum()
+    open_messages.map(|open| estimate(open) as u64).sum()
 }
 
 #[cfg(test)]
--- a/daemon/src/wal/tests.rs
+++ b/daemon/src/wal/tests.rs
@@ -91,7 +91,7 @@
     let (mut wal, _) = Wal::open(&folder.0, 1_000_000).unwrap();
     let taken = Record::Accepted(AcceptedMessage { number: 7, ..AcceptedMessage::default() });
     assert!(put(&mut wal, &mut BTreeMap::new(), &taken));
-    std::fs::write(folder.0.join(PLACES[0].new), b"half of a rec").unwrap();
+    std::fs::write(folder.0.join(PROCESS_FILES[0].new), b"half of a rec").unwrap();
     let (mut wal, scan) = Wal::open(&folder.0, 1_000_000).unwrap();
     assert_eq!(scan.records, [taken]);
     wal.compact(recover(scan.records).values()).unwrap();
@@ -116,7 +116,7 @@
     taken(2).write(&mut half);
     half.truncate(half.len() / 2);
     wal.file.write_all(&half).unwrap();
-    wal.cut_back(half.len() as u64 * 2);
+    wal.truncate_failed_write(half.len() as u64 * 2);
     assert!(put(&mut wal, &mut owed, &taken(3)));
     let length = wal.file.metadata().unwrap().len();
     assert_eq!(wal.size(), length, "the next cut is behind what has been written since");
