--- a/daemon/src/clock.rs
+++ b/daemon/src/clock.rs
@@ -1,14 +1,10 @@
 //! The clock of the process: the wall time at the start, advanced by the monotonic clock. It never runs
-//! backwards, and its
-//! times remain valid for the next process.
+//! backwards, and its times remain valid for the next process.
 //!
 //! The wall clock of a machine may be stepped, by seconds or by an hour. A running process does not notice.
-//! Between two
-//! processes of the same boot the boot-time clock shows the step: the first process saves the offset between
-//! both clocks in
-//! the state folder, and a process that finds the wall clock stepped continues by that offset. After a reboot
-//! there is only
-//! the wall time.
+//! Between two processes of the same boot the boot-time clock shows the step: the first process saves the
+//! offset between both clocks in the state folder, and a process that finds the wall clock stepped continues
+//! by that offset. After a reboot there is only the wall time.
 
 use async_io::Timer;
 use futures_lite::future;
@@ -68,8 +64,7 @@
         }
     }
     /// Returns the future's result, or `None` if the time comes first. The future is polled first, so a
-    /// result that is ready counts
-    /// however late it is polled.
+    /// result that is ready counts however late it is polled.
     pub async fn timeout_at<T>(&self, at: Micros, work: impl Future<Output = T>) -> Option<T> {
         future::or(async { Some(work.await) }, async {
             self.sleep_until(Some(at)).await;
@@ -90,8 +85,7 @@
 }
 
 /// The time at which a process starts: the wall time, or, if that was stepped since another process of this
-/// boot saved its
-/// offset, the time by that offset.
+/// boot saved its offset, the time by that offset.
 fn start_time(folder: &Path, boot_id: &str, wall: Micros, boot: Micros) -> Micros {
     let file = folder.join(OFFSET_FILE);
     let by_saved_offset = std::fs::read_to_string(&file).ok();
--- a/daemon/src/core_actor/calls.rs
+++ b/daemon/src/core_actor/calls.rs
@@ -66,8 +66,8 @@
     }
 
     /// Queues a call at its endpoint's actor. Where that fails the outcome is reported at once, since the
-    /// ledger expects one
-    /// for each call: the endpoint may be gone, its mailbox full, or it is a gateway, which has no probes.
+    /// ledger expects one for each call: the endpoint may be gone, its mailbox full, or it is a gateway,
+    /// which has no probes.
     pub(super) fn queue_call(&mut self, call: OutboundCall) {
         let (now, moot) = (call.started, call.outcome(call.started, Verdict::Moot));
         let unsupported_probe = call.probe_path.is_some() && self.directory.is_fixed(call.receiver);
@@ -155,7 +155,7 @@
         }
         self.directory.on_retry_after(outcome.receiver, outcome.wait_until);
         self.shared.invariants.note_retry_after(now, outcome.receiver, outcome.wait_until);
-        self.share_wait(now, outcome.receiver, outcome.wait_until);
+        self.share_retry_after(now, outcome.receiver, outcome.wait_until);
         self.directory.call_ended(outcome.receiver);
         let record = self.ledger.end_attempt(now, outcome);
         self.log_or_queue(record);
--- a/daemon/src/core_actor/endpoint_list.rs
+++ b/daemon/src/core_actor/endpoint_list.rs
@@ -41,9 +41,9 @@
             }
             None => {
                 let (entries, retained): (Vec<_>, Vec<_>) = activated.endpoints.into_iter().unzip();
-                let numbers: Vec<_> = entries.iter().map(|entry| entry.receiver).collect();
+                let receivers: Vec<_> = entries.iter().map(|entry| entry.receiver).collect();
                 self.ledger.on_list_event(now, Event::CachedEntries(entries));
-                for (receiver, health) in numbers.into_iter().zip(retained) {
+                for (receiver, health) in receivers.into_iter().zip(retained) {
                     self.ledger.restore_receiver(now, receiver, health);
                 }
             }
@@ -83,10 +83,10 @@
         output.entries.iter().for_each(|entry| self.shared.invariants.note_entry(now, entry));
         for entry in output.entries.iter().filter(|entry| entry.state != EntryState::Ready) {
             if let Some(endpoint) = self.directory.active_endpoint(entry.receiver) {
-                let (endpoint, receiver) = (&endpoint.name, entry.receiver.0);
+                let (endpoint, to) = (&endpoint.name, entry.receiver.0);
                 tracing::info!(
                     endpoint,
-                    receiver,
+                    to,
                     "list: endpoint is {:?}; no new calls are sent to it",
                     entry.state
                 );
@@ -150,8 +150,8 @@
     pub(super) fn list_finished(&mut self, now: Micros, generation: u64) {
         self.directory.finish_list();
         self.first_list = None;
-        if let Some(p) = &mut self.duty_runner {
-            p.set_list_generation(Some(generation));
+        if let Some(duty_runner) = &mut self.duty_runner {
+            duty_runner.set_list_generation(Some(generation));
         }
         self.shared.counters.list_old.set(0);
         self.shared.counters.listed.set(self.directory.listed_endpoint_count());
--- a/daemon/src/core_actor/first_list.rs
+++ b/daemon/src/core_actor/first_list.rs
@@ -1,21 +1,18 @@
 //! Holds calls back after a start until the first endpoint list arrives, where lists are pushed. With pushed
-//! lists, a process
-//! is expected to know the state of discovery from its first moment, but it starts with the cached list,
-//! which may be old.
+//! lists, a process is expected to know the state of discovery from its first moment, but it starts with the
+//! cached list, which may be old.
 
 use onyxrock::interface::Micros;
 
-/// At first no calls are sent: discovery answers at once unless many processes ask it. Messages held
-/// meanwhile fill the
-/// table (holding for a second cost a tenth of a day's value), so a slower discovery is not waited for.
+/// How long after the start no calls are sent at first: discovery answers at once unless many processes ask
+/// it. Messages held meanwhile fill the table (holding for a second cost a tenth of a day's value), so a
+/// slower discovery is not waited for.
 const INITIAL_HOLD: Micros = Micros(100_000);
-/// Calls may then be sent on the cached list for the rest of the grace: a drain allows calls for one second
-/// after it is
-/// known. Of that second, 150 ms are left for delays in this process.
+/// How long after the start calls may be sent on the cached list: a drain allows calls for one second after
+/// it is known, and 150 ms of that second are left for delays in this process.
 const STALE_LIST_GRACE: Micros = Micros(1_000_000 - 150_000);
-/// After the grace no calls are sent until the list arrives. If discovery is silent for longer than this it
-/// is down, and
-/// what it knows may be as old as the cached list.
+/// How long after the start calls are held back if the list does not arrive. A discovery that is silent for
+/// longer is down, and what it knows may be as old as the cached list.
 const MAX_HOLD: Micros = Micros(6_000_000);
 
 /// The time between the start and the first endpoint list.
--- a/daemon/src/core_actor/guard.rs
+++ b/daemon/src/core_actor/guard.rs
@@ -1,6 +1,5 @@
 //! The send guard: every call needs a [`Permit`] from here right before its first byte is written, however
-//! long ago it was
-//! decided on. A call that must not be sent gets the verdict to end with instead.
+//! long ago it was decided on. A call that must not be sent gets the verdict to end with instead.
 
 use super::CoreActor;
 use crate::counters::Counter;
@@ -26,8 +25,11 @@
 /// A call that asks for a permit.
 #[derive(Clone, Copy, Debug)]
 pub struct PermitRequest {
+    /// The number of the message or probe.
     pub number: u64,
+    /// The attempt of that message.
     pub attempt: u32,
+    /// The endpoint that is called.
     pub receiver: ReceiverId,
     /// Part of the call has been written, and the rest had to wait for the socket.
     pub partly_written: bool,
@@ -35,8 +37,7 @@
 
 impl CoreActor {
     /// Rechecks a call right before it is written, because it may have waited for a connection since it was
-    /// queued. A call
-    /// that has been written in part is only checked for what forbids its last byte.
+    /// queued. A call that has been written in part is only checked for what forbids its last byte.
     pub(super) fn permit_call(&mut self, now: Micros, request: PermitRequest) -> PermitResult {
         let counters = &self.shared.counters;
         let held_back = |counter: &Counter| {
--- a/daemon/src/core_actor/messages.rs
+++ b/daemon/src/core_actor/messages.rs
@@ -16,7 +16,9 @@
 /// A message that a frontend submits.
 #[derive(Debug)]
 pub struct Submission {
+    /// The message, whose number the core actor assigns.
     pub message: AcceptedMessage,
+    /// Where the reply goes.
     pub reply: Sender<SubmitReply>,
 }
 
@@ -40,7 +42,9 @@
 /// Settings that apply from now on.
 #[derive(Debug)]
 pub struct LiveSettings {
+    /// The core's settings.
     pub settings: Settings,
+    /// The names of classes, tenants and zones.
     pub names: NameIndex,
 }
 
@@ -118,9 +122,14 @@
 /// The final status of a message, for its client.
 #[derive(Clone, Debug)]
 pub struct StatusNotice {
+    /// The number of the message.
     pub number: u64,
+    /// The request id under which its client submitted it.
     pub id: String,
+    /// What its frontend noted for itself.
     pub frontend_note: String,
+    /// The deadline of the message.
     pub deadline: Micros,
+    /// The final status.
     pub status: FinalStatus,
 }
--- a/daemon/src/core_actor/records.rs
+++ b/daemon/src/core_actor/records.rs
@@ -1,6 +1,5 @@
 //! Writes records to the log. While the folder fails, work that needs a record first is refused, and records
-//! of events that
-//! have happened are queued and written in order later.
+//! of events that have happened are queued and written in order later.
 
 use super::CoreActor;
 use onyxrock::core::{OpenMessage, Record};
@@ -29,8 +28,7 @@
 
 impl CoreActor {
     /// Appends records to the log, behind all queued ones. If this returns false they are not logged, and
-    /// work that needs
-    /// them must not begin.
+    /// work that needs them must not begin.
     pub(super) fn log_now(&mut self, records: &[Record]) -> bool {
         self.write_queued_records() && self.append(records)
     }
--- a/daemon/src/core_actor/sibling.rs
+++ b/daemon/src/core_actor/sibling.rs
@@ -1,18 +1,16 @@
 //! A sibling is a second process of this forwarder that runs during an upgrade. Retry-afters and drains that
-//! one of the two
-//! learns bind both.
+//! one of the two learns bind both.
 
 use super::CoreActor;
-use crate::shared_waits::{SharedDrain, SharedRetryAfter, SiblingEntry, WaitWriter};
+use crate::shared_waits::{SharedDrain, SharedRetryAfter, SiblingEntry, WaitsFileWriter};
 use onyxrock::interface::{Micros, ReceiverId};
 use onyxrock_roster::DirectoryOutput;
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 
 /// How long a new process sends nothing while it waits for the sibling's snapshot. The sibling notices a new
-/// process within
-/// a twentieth of a second (50 ms) and writes its snapshot at once; a sibling that does not is not waited for
-/// longer.
+/// process within a twentieth of a second (50 ms) and writes its snapshot at once; a sibling that does not is
+/// not waited for longer.
 const SNAPSHOT_TIMEOUT: Micros = Micros(150_000);
 /// Interval between attempts to rewrite a waits file that could not be written.
 const REWRITE_INTERVAL: Micros = Micros(20_000);
@@ -20,7 +18,7 @@
 /// What this process shares with its sibling.
 #[derive(Debug)]
 pub struct SiblingLink {
-    waits_file: WaitWriter,
+    waits_file: WaitsFileWriter,
     /// Draining endpoints that have been written to the waits file.
     shared_drains: BTreeSet<String>,
     retry_at: Micros,
@@ -36,7 +34,7 @@
 
     /// For a process whose sibling has just started.
     pub fn for_running(waits_path: PathBuf) -> SiblingLink {
-        let waits_file = WaitWriter::new(waits_path);
+        let waits_file = WaitsFileWriter::new(waits_path);
         SiblingLink { waits_file, shared_drains: BTreeSet::new(), retry_at: Micros(0), hold_until: Micros(0) }
     }
 
@@ -53,7 +51,7 @@
 }
 
 impl CoreActor {
-    /// A sibling has started, with this path for the own waits file, or is gone.
+    /// Notes that a sibling has started, with this path for the own waits file, or that it is gone.
     pub(super) fn set_sibling(&mut self, waits_path: Option<PathBuf>) {
         self.sibling = waits_path.map(SiblingLink::for_running);
         self.refresh_shared_waits(self.shared.clock.now());
@@ -67,7 +65,7 @@
                     sibling.hold_until = now;
                 }
             }
-            SiblingEntry::RetryAfter(wait) => self.on_sibling_wait(now, &wait),
+            SiblingEntry::RetryAfter(wait) => self.on_sibling_retry_after(now, &wait),
             SiblingEntry::Drain(drain) => self.on_sibling_drain(now, &drain),
         }
     }
@@ -118,7 +116,7 @@
     }
 
     /// Applies a retry-after that an endpoint sent to the sibling.
-    fn on_sibling_wait(&mut self, now: Micros, wait: &SharedRetryAfter) {
+    fn on_sibling_retry_after(&mut self, now: Micros, wait: &SharedRetryAfter) {
         // The retry-after also applies to an inactive destination.
         if let Some(destination) = self.directory.destination_of(&wait.endpoint) {
             self.activate_destination(now, destination);
@@ -131,14 +129,15 @@
     }
 
     /// Shares a retry-after that an endpoint sent to this process.
-    pub(super) fn share_wait(&mut self, now: Micros, receiver: ReceiverId, until: Micros) {
+    pub(super) fn share_retry_after(&mut self, now: Micros, receiver: ReceiverId, until: Micros) {
         let Some(sibling) = self.sibling.as_mut().filter(|_| until > now) else { return };
         let Some(endpoint) = self.directory.active_endpoint(receiver) else { return };
         let wait = SharedRetryAfter { endpoint: endpoint.name.clone(), until };
         if let Err(e) = sibling.waits_file.append_retry_after(&self.shared.clock, &wait) {
             sibling.retry_at = now.plus(REWRITE_INTERVAL);
             tracing::warn!(
-                "waits: a retry-after could not be shared with the other process, and the file will be rewritten: {e}"
+                "waits: a retry-after could not be shared with the other process; \
+                 the file will be rewritten: {e}"
             );
         }
     }
--- a/daemon/src/core_actor/takeover.rs
+++ b/daemon/src/core_actor/takeover.rs
@@ -30,10 +30,8 @@
     }
 
     /// Copies the open messages of a process that is gone, under new numbers. A process that died while it
-    /// copied between the
-    /// two logs leaves messages in both. A message that is already open here, or was copied before and has
-    /// ended since, is
-    /// recognized by its key and skipped.
+    /// copied between the two logs leaves messages in both. A message that is already open here, or was
+    /// copied before and has ended since, is recognized by its key and skipped.
     pub(super) fn copy_open_messages(&mut self, orphaned: &OrphanedLog) -> std::io::Result<()> {
         let scan = orphaned.scan()?;
         if scan.damaged_bytes > 0 {
@@ -70,7 +68,7 @@
         Ok(())
     }
 
-    /// Takes over an orphaned log. A failure is retried when the sibling's place is checked next.
+    /// Takes over an orphaned log. A failure is retried at the next check for a sibling.
     pub fn try_take_over_log(&mut self, orphaned: &OrphanedLog) {
         if let Err(e) = self.take_over_log(orphaned) {
             tracing::error!(
--- a/daemon/src/counters.rs
+++ b/daemon/src/counters.rs
@@ -8,15 +8,19 @@
 pub struct Counter(Cell<u64>);
 
 impl Counter {
+    /// Adds one.
     pub fn increment(&self) {
         self.0.set(self.0.get() + 1);
     }
+    /// Subtracts one; stays at 0.
     pub fn decrement(&self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
+    /// Sets the value of a gauge.
     pub fn set(&self, value: usize) {
         self.0.set(value as u64);
     }
+    /// The current value.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
--- a/daemon/src/invariants.rs
+++ b/daemon/src/invariants.rs
@@ -1,8 +1,6 @@
 //! Run-time checks that the rules hold, made where bytes leave and connections end. Nothing here decides:
-//! what the send guard
-//! (`core_actor/guard.rs`) permits is checked again against what this process has been told, and each
-//! violation is counted
-//! and logged with its ids. All counts are 0 in a correct process.
+//! what the send guard (`core_actor/guard.rs`) permits is checked again against what this process has been
+//! told, and each violation is counted and logged with its ids. All counts are 0 in a correct process.
 
 use crate::core_actor::Permit;
 use crate::counters::Counter;
@@ -19,9 +17,8 @@
 const STATUS_GRACE: Micros = Micros(300_000);
 /// Final statuses of recovered messages do not count as overdue in this time after the start.
 const RESTART_GRACE: Micros = Micros(1_500_000);
-/// Above this number of known endpoints, the check forgets those that have draining_since for
-/// `FORGET_DRAINED_AFTER`: their calls
-/// have ended, because they end within the lifetime of a message.
+/// Above this number of known endpoints, the check forgets those that have drained for
+/// `FORGET_DRAINED_AFTER`: their calls have ended, because they end within the lifetime of a message.
 const MAX_KNOWN_ENDPOINTS: usize = 8_192;
 /// Age of a drain at which its endpoint may be forgotten.
 const FORGET_DRAINED_AFTER: Micros = Micros(60_000_000);
@@ -154,8 +151,7 @@
     }
 
     /// Notes a message that had expired when it was taken over. The process that left it reported its status,
-    /// or counted itself that
-    /// it did not.
+    /// or counted itself that it did not.
     pub fn note_expired_at_takeover(&self, id: &str) {
         self.expired_at_takeover.borrow_mut().insert(id.to_owned());
     }
--- a/daemon/src/invariants/tests.rs
+++ b/daemon/src/invariants/tests.rs
@@ -1,4 +1,4 @@
-//! Each violation is counted, and what the rules allow is not.
+//! Each violation must be counted, and what the rules allow must not.
 
 use super::*;
 use onyxrock::interface::{DestinationId, KindId, ZoneId};
@@ -26,7 +26,7 @@
     }
 }
 
-fn listed(listing: EntryState) -> ListEntry {
+fn entry_in_state(listing: EntryState) -> ListEntry {
     let (destination, kind, zone) = (DestinationId(1), KindId(0), ZoneId(0));
     ListEntry { receiver: TO, state: listing, destination, kind, zone, weight: 1.0 }
 }
@@ -36,22 +36,22 @@
 #[case::beyond_it(EntryState::Draining, 1_000_001, 1)]
 #[case::gone(EntryState::Gone, 2_000_000, 1)]
 #[case::ready(EntryState::Ready, 9_000_000, 0)]
-fn a_call_to_an_endpoint_that_drains(
+fn a_call_after_the_drain_grace_is_counted(
     #[case] listing: EntryState, #[case] after: u64, #[case] violations: u64,
 ) {
     let invariants = Invariants::default();
-    invariants.note_entry(START, &listed(listing));
-    // Word of it again does not begin the grace anew.
-    invariants.note_entry(START.plus(Micros(500_000)), &listed(listing));
+    invariants.note_entry(START, &entry_in_state(listing));
+    // A repeated report must not restart the grace.
+    invariants.note_entry(START.plus(Micros(500_000)), &entry_in_state(listing));
     invariants.check_send(START.plus(Micros(after)), &call(false), &PERMIT);
     assert_eq!((invariants.call_after_drain.get(), invariants.total()), (violations, violations));
 }
 
 #[test]
-fn an_endpoint_that_is_ready_again_may_be_called() {
+fn a_call_to_an_endpoint_that_is_ready_again_is_not_counted() {
     let invariants = Invariants::default();
-    invariants.note_entry(START, &listed(EntryState::Draining));
-    invariants.note_entry(START, &listed(EntryState::Ready));
+    invariants.note_entry(START, &entry_in_state(EntryState::Draining));
+    invariants.note_entry(START, &entry_in_state(EntryState::Ready));
     invariants.check_send(START.plus(Micros(9_000_000)), &call(false), &PERMIT);
     assert_eq!(invariants.total(), 0);
 }
@@ -60,14 +60,14 @@
 #[case::within_the_grace(1_000_000, false, 0)]
 #[case::beyond_it(1_000_001, false, 1)]
 #[case::put_back(9_000_000, true, 0)]
-fn a_call_to_an_endpoint_that_operators_took_out(
+fn a_call_to_an_endpoint_in_maintenance_is_counted(
     #[case] after: u64, #[case] put_back: bool, #[case] violations: u64,
 ) {
     let invariants = Invariants::default();
     invariants.note_maintenance(START, "e1", true);
-    // The call may come twice, and the list may say that it is ready.
+    // The operator call may be repeated, and the list may report the endpoint as ready.
     invariants.note_maintenance(START.plus(Micros(500_000)), "e1", true);
-    invariants.note_entry(START, &listed(EntryState::Ready));
+    invariants.note_entry(START, &entry_in_state(EntryState::Ready));
     if put_back {
         invariants.note_maintenance(START.plus(Micros(600_000)), "e1", false);
     }
@@ -76,10 +76,10 @@
 }
 
 #[rstest]
-#[case::crosses_the_answer(100_000, 0)]
-#[case::during_the_wait(100_001, 1)]
+#[case::crosses_the_response(100_000, 0)]
+#[case::during_the_retry_after(100_001, 1)]
 #[case::after_it(800_000, 0)]
-fn a_call_during_a_wait(#[case] after: u64, #[case] violations: u64) {
+fn a_call_during_a_retry_after_is_counted(#[case] after: u64, #[case] violations: u64) {
     let invariants = Invariants::default();
     invariants.note_retry_after(START, TO, START.plus(Micros(800_000)));
     invariants.note_retry_after(START, TO, START.plus(Micros(300_000)));
@@ -88,11 +88,11 @@
 }
 
 #[test]
-fn what_the_guard_did_not_allow_is_counted() {
+fn a_call_beyond_its_permit_is_counted() {
     let invariants = Invariants::default();
     let repeat = Permit { repeat: true, valid_until: START, ..PERMIT };
     invariants.check_send(START, &call(false), &repeat);
-    assert_eq!(invariants.total(), 0, "a repeat in time that takes no effect");
+    assert_eq!(invariants.total(), 0, "a safe repeat within its permit is allowed");
     invariants.check_send(START.plus(Micros(1)), &call(false), &repeat);
     assert_eq!((invariants.expired_repeat.get(), invariants.total()), (1, 1));
     invariants.check_send(START, &call(true), &repeat);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn an_end_that_comes_too_late_is_counted_but_for_what_a_restart_found() {
+fn a_late_status_is_counted_except_shortly_after_a_restart() {
     let invariants = Invariants::default();
     let late = START.plus(Micros(300_001));
     invariants.check_report_time(START.plus(Micros(300_000)), "m1", START, Micros(60_000_000));
@@ -121,9 +121,10 @@
     assert_eq!((invariants.unanswered_request.get(), invariants.total()), (1, 1));
 }
 
-/// Who owes an end answers for it: the process that leaves it, not the one that finds it late.
+/// A late final status counts in the process that left it to the next one, not in the one that finds it
+/// expired.
 #[test]
-fn an_end_that_was_left_too_late_counts_where_it_was_left() {
+fn an_overdue_status_is_counted_in_the_process_that_left_it() {
     let (next, left) = (Invariants::default(), Invariants::default());
     let (late, up) = (START.plus(Micros(300_001)), Micros(60_000_000));
     left.check_left_message(START.plus(Micros(300_000)), "m1", START);
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -1,6 +1,5 @@
 //! The forwarder daemon: it carries out the core's decisions on real sockets. Everything runs on one thread.
-//! The core, each
-//! endpoint, the endpoint list and the status notices are actors with bounded mailboxes.
+//! The core, each endpoint, the endpoint list and the status notices are actors with bounded mailboxes.
 
 pub mod clock;
 pub mod core_actor;
--- a/daemon/src/log.rs
+++ b/daemon/src/log.rs
@@ -1,8 +1,7 @@
 //! The diagnostic log: `tracing` events as text lines or JSON objects on standard error.
 //!
 //! Every line names the instance. A peer must not be able to fill the disk by causing errors, so each call
-//! site writes a limited
-//! number of lines per second, and further lines are only counted.
+//! site writes a limited number of lines per second, and further lines are only counted.
 
 use onyxrock_config::product::{Format, Level, Log};
 use std::collections::HashMap;
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -13,13 +13,13 @@
 const USAGE: &str = "\
 usage: onyxrock COMMAND [--config FILE] [--product FILE]
   serve     run a forwarder
-  check     read the configuration, say what it holds, and end
-  members   what a running instance sees of the others: --at ADDRESS [--json]
+  check     read the configuration, say command it holds, and end
+  members   command a running instance sees of the others: --at ADDRESS [--json]
   duties    which duties it wants and holds: --at ADDRESS [--json]
   status    who leads the fleet, and whether this one votes: --at ADDRESS [--json]
   version   print the version
-The configuration is what the platform states: --config FILE, or $GW_CONFIG. --product names a
-file of our own, which switches on what the platform does not use (see deploy/product.toml).";
+The configuration is command the platform states: --config FILE, or $GW_CONFIG. --product names a
+file of our own, which switches on command the platform does not use (see deploy/product.toml).";
 
 /// The parsed command line.
 struct Args {
@@ -45,7 +45,7 @@
             Long("json") => json = true,
             Long("help") | Short('h') => command = Some("help".to_owned()),
             Long("version") => command = Some("version".to_owned()),
-            Value(v) if command.is_none() => command = Some(v.to_string_lossy().into_owned()),
+            Value(value) if command.is_none() => command = Some(value.to_string_lossy().into_owned()),
             other => return Err(other.unexpected().to_string()),
         }
     }
@@ -56,7 +56,7 @@
 fn run() -> Result<(), String> {
     let args = parse_args(lexopt::Parser::from_env())?;
     let read = || {
-        let var = |name: &str| std::env::var(name).ok().filter(|v| !v.is_empty());
+        let var = |name: &str| std::env::var(name).ok().filter(|value| !value.is_empty());
         let path = args.config.clone().or_else(|| var("GW_CONFIG").map(PathBuf::from));
         let config = onyxrock_config::daemon::read(&path.ok_or("no --config and no $GW_CONFIG")?, var)?;
         let members = |d: &DnsSettings, service: &str| Zone::parse(&d.zone_text, &d.origin)?.members(service);
@@ -80,36 +80,41 @@
             onyxrock_config::settings::describe(&config.settings, &config.names)
                 .iter()
                 .for_each(|w| println!("{w}"));
-            if let Some(s) = product.smpp {
+            if let Some(smpp) = product.smpp {
                 println!(
                     "SMPP on {}, {} clients, {} gateways",
-                    s.listen,
-                    s.tenant_by_system_id.len(),
-                    s.gateways.len()
+                    smpp.listen,
+                    smpp.tenant_by_system_id.len(),
+                    smpp.gateways.len()
                 );
             }
-            if let Some(d) = product.dns {
-                let zone = Zone::parse(&d.zone_text, &d.origin)?;
-                let (list, wrong) = zone.endpoints(&config.names);
-                println!("DNS on {}, {} endpoints in the zone", d.listen, list.entries.len());
-                wrong.iter().for_each(|w| println!("  {w}"));
+            if let Some(dns) = product.dns {
+                let zone = Zone::parse(&dns.zone_text, &dns.origin)?;
+                let (list, invalid) = zone.endpoints(&config.names);
+                println!("DNS on {}, {} endpoints in the zone", dns.listen, list.entries.len());
+                invalid.iter().for_each(|w| println!("  {w}"));
             }
-            if let Some(d) = product.duties {
-                println!("duties on {}, {} members, {} voters", d.listen, d.members.len(), d.voter_count);
+            if let Some(duties) = product.duties {
+                println!(
+                    "duties on {}, {} members, {} voters",
+                    duties.listen,
+                    duties.members.len(),
+                    duties.voter_count
+                );
             }
             Ok(())
         }
-        what @ ("members" | "duties" | "status") => {
-            let v = show::fetch(
-                args.at.ok_or_else(|| format!("{what}: --at ADDRESS is missing"))?,
-                if what == "members" { "/members" } else { "/duties" },
+        command @ ("members" | "duties" | "status") => {
+            let value = show::fetch(
+                args.at.ok_or_else(|| format!("{command}: --at ADDRESS is missing"))?,
+                if command == "members" { "/members" } else { "/duties" },
             )?;
-            let shown = match what {
+            let format_for_people = match command {
                 "members" => show::members,
                 "duties" => show::duties,
                 _ => show::status,
             };
-            print!("{}", if args.json { format!("{v}\n") } else { shown(&v) });
+            print!("{}", if args.json { format!("{value}\n") } else { format_for_people(&value) });
             Ok(())
         }
         "version" => {
--- a/daemon/src/maintenance.rs
+++ b/daemon/src/maintenance.rs
@@ -1,11 +1,9 @@
 //! The endpoints that operators have taken out of use, in a file of the state folder. All processes of a
-//! forwarder share it:
-//! the process that an operator calls writes it, a sibling process watches it, and the next process reads it
-//! at its start.
+//! forwarder share it: the process that an operator calls writes it, a sibling process watches it, and the
+//! next process reads it at its start.
 //!
 //! The file has one endpoint name per line. It is replaced as a whole, under a lock that is released when its
-//! process dies, so
-//! that two processes that are called at the same moment lose neither change.
+//! process dies, so that two processes that are called at the same moment lose neither change.
 
 use crate::core_actor::CoreMessage;
 use crate::net::SharedState;
@@ -30,6 +28,7 @@
 /// A change that an operator makes.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct MaintenanceChange {
+    /// The name of the endpoint.
     pub endpoint: String,
     /// True to take the endpoint out of use, false to put it back.
     pub in_maintenance: bool,
--- a/daemon/src/maintenance/tests.rs
+++ b/daemon/src/maintenance/tests.rs
@@ -1,4 +1,4 @@
-//! The file that says what operators have taken out.
+//! The file of endpoints in maintenance.
 
 use super::*;
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn two_processes_that_are_called_in_turn_lose_neither_change() {
+fn changes_at_two_processes_in_turn_are_both_kept() {
     let folder = folder("two");
     let (mut first, mut second) = (MaintenanceFile::new(&folder), MaintenanceFile::new(&folder));
     assert_eq!(first.load().unwrap(), names(&[]), "there is no file yet");
@@ -33,9 +33,10 @@
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// Another process is writing just now, or the folder takes nothing: the change holds here and is written later, in order.
+/// Another process may be writing the file, or the folder may fail. A change must apply all the same, and be
+/// written later, in order.
 #[test]
-fn what_could_not_be_written_waits_and_holds() {
+fn a_change_that_could_not_be_written_applies_and_stays_queued() {
     let folder = folder("waits");
     let mut file = MaintenanceFile::new(&folder);
     let other = lock(&folder).unwrap();
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn half_of_a_next_file_says_nothing_and_noise_is_no_panic() {
+fn an_incomplete_replacement_is_ignored_and_invalid_content_causes_no_panic() {
     let folder = folder("noise");
     let mut file = MaintenanceFile::new(&folder);
     file.apply(change("a", true)).unwrap();
@@ -61,7 +62,7 @@
     assert_eq!(file.load().unwrap(), names(&["a"]));
     std::fs::write(&files(&folder)[0], b"a\n\n\xff\xfe\n").unwrap();
     assert!(file.load().unwrap().contains("a"));
-    // A folder in its place cannot be read: a start waits for it.
+    // A directory in place of the file cannot be read, so a start has to wait.
     std::fs::remove_file(&files(&folder)[0]).unwrap();
     std::fs::create_dir(&files(&folder)[0]).unwrap();
     assert!(file.load().is_err());
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn the_file_is_bounded() {
+fn the_file_size_is_limited() {
     let mut all = BTreeSet::new();
     let name = |i: usize| format!("s-{i:08x}");
     while MaintenanceFile::has_room(&all, &name(all.len())) {
--- a/daemon/src/notices.rs
+++ b/daemon/src/notices.rs
@@ -18,8 +18,8 @@
 /// Most statuses in one report.
 const MAX_BATCH: usize = 64;
 /// Time that the platform has to acknowledge a report. A status is reported some tenths of a second before it
-/// is overdue, and
-/// several attempts have to fit into that. A repeat that crosses its acknowledgement does no harm.
+/// is overdue, and several attempts have to fit into that. A repeat that crosses its acknowledgement does no
+/// harm.
 const ACK_TIMEOUT: Micros = Micros(150_000);
 /// Delay before the first repeat; it doubles with each further one.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(50);
@@ -27,8 +27,7 @@
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Runs until the process ends. A message on `moves` says that the platform's address has changed: reports
-/// that have not been
-/// acknowledged are sent there as well.
+/// that have not been acknowledged are sent there as well.
 pub async fn run(shared: Rc<SharedState>, notices: Receiver<StatusNotice>, moves: Receiver<()>) {
     let mut link = PlatformLink { shared: &shared, conn: None, moves };
     while let Ok(first) = notices.recv().await {
@@ -65,7 +64,7 @@
 impl PlatformLink<'_> {
     /// Sends a batch until the platform has answered, and returns the HTTP status.
     async fn report(&mut self, batch: &[StatusNotice]) -> u16 {
-        let body: String = batch.iter().map(|e| notice_json(e) + "\n").collect();
+        let body: String = batch.iter().map(|notice| notice_json(notice) + "\n").collect();
         let mut delay = FIRST_RETRY_DELAY;
         loop {
             let (clock, to) = (self.shared.clock, self.shared.discovery.get());
@@ -82,7 +81,7 @@
             match future::or(async { Ok(posted.await) }, moves).await {
                 Ok(Some(Ok(status @ (204 | 200)))) => return status,
                 Ok(Some(Ok(400))) => {
-                    tracing::error!(%body, "notices: the platform rejected this report as malformed; it is not repeated");
+                    tracing::error!(%body, "notices: the platform rejected this report as malformed");
                     return 400;
                 }
                 Ok(_) => {
@@ -104,12 +103,14 @@
     }
 }
 
+/// Waits until the platform's address changes.
 async fn next_move(moves: &Receiver<()>) {
     if moves.recv().await.is_err() {
         future::pending().await
     }
 }
 
+/// Sends one report and reads the status of its response, on a kept connection if there is one.
 async fn post(
     clock: &Clock, to: SocketAddr, kept_conn: &mut Option<Conn>, bytes: &str,
 ) -> std::io::Result<u16> {
--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -38,11 +38,10 @@
 /// an attempt.
 const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(500);
 /// How long after SIGTERM accepted messages are still sent. The next process starts seconds later, so the
-/// fewer messages are
-/// left to it, the fewer expire without an attempt.
+/// fewer messages are left to it, the fewer expire without an attempt.
 const SEND_AFTER_SIGTERM: Duration = Duration::from_millis(2300);
-/// When after SIGTERM the process exits. Between `SEND_AFTER_SIGTERM` and this, calls in flight may end, but no new call
-/// is sent.
+/// When after SIGTERM the process exits. Between `SEND_AFTER_SIGTERM` and this, calls in flight may end, but
+/// no new call is sent.
 const EXIT_AFTER_SIGTERM: Duration = Duration::from_millis(3300);
 
 /// Interval between checks, during shutdown, of whether the last client connections have ended.
@@ -52,12 +51,10 @@
 type Reread<'a> = &'a dyn Fn() -> Result<(Config, ProductSettings), ReadError>;
 
 /// How often reading the configuration is retried if the system cannot open the file at the moment of SIGHUP.
-/// All retries
-/// fit into the 1.2 s after which new settings are binding. A SIGTERM that arrives meanwhile has to wait for
-/// them; that
-/// leaves it `EXIT_AFTER_SIGTERM` and 0.4 s until the kill.
+/// All retries fit into the 1.2 s after which new settings are binding. A SIGTERM that arrives meanwhile has
+/// to wait for them; that leaves it `EXIT_AFTER_SIGTERM` and 0.4 s until the kill.
 const REREAD_TRIES: u32 = 8;
-/// Interval between these retries.
+/// Interval between retries of reading the configuration.
 const REREAD_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs a forwarder until SIGTERM or SIGINT. `reread` reads the configuration again at each SIGHUP.
@@ -87,7 +84,7 @@
             config.max_disk_bytes
         ));
     }
-    // So do the snapshot of retained health and its replacement.
+    // The snapshot of retained health and its replacement share the folder, too.
     let log_bytes = config.max_disk_bytes.saturating_sub(reserved_bytes + 2 * snapshot_bytes);
     let OpenedState { claim, wal, scan, in_maintenance } =
         open_folder(&config.state_folder, log_bytes).await?;
@@ -99,8 +96,7 @@
     let (calls_finished_signal, calls_finished) = bounded(1);
     let idle_timeout = config.settings.connection_idle_timeout;
     // Room for one round of lease requests to all members, and their responses. A message that finds no room
-    // is lost, and
-    // its request is sent again.
+    // is lost, and its request is sent again.
     let member_count = duties.as_ref().map_or(0, |duty_settings| duty_settings.members.len());
     let (to_peers, peers_inbox) = bounded((4 * member_count).max(1024));
     let (to_list, list_updates) = bounded(64);
@@ -135,7 +131,8 @@
     let frontends = BTreeMap::from([(inbound::FRONTEND_ID, http_notices), (smpp::FRONTEND_ID, smpp_notices)]);
     let slots = (config.settings.slots as usize).min(4096);
     let (poll_interval, large_fleet) = (config.settings.list_poll_interval, config.settings.large_fleet());
-    // Room for a request that shows whether discovery responds, and for the watch behind it.
+    // Whether the call limit of discovery has room for two calls: one that shows whether discovery responds,
+    // and the watch behind it.
     let two_calls_fit = config.settings.list_calls_fit(2);
     let classes = config.names.classes.iter();
     let give_up_after =
@@ -232,7 +229,7 @@
         let peers = Peers { now: move || clock.now(), outbox, socket, membership, members, send_failures: 0 };
         executor.spawn(peers.run(peers_inbox)).detach();
     }
-    // The own DNS zone is more recent than the cached list of discovery.
+    // The configured DNS zone is more recent than the cached list of discovery.
     let zone = dns.map(|settings| {
         dns::DnsServer::open(
             &settings.zone_text,
@@ -245,8 +242,7 @@
     });
     let zone = zone.transpose()?;
     // In a large fleet a starting process asks only for changes: sending a complete list to each keeps
-    // discovery busy for
-    // seconds, in which it answers no other call.
+    // discovery busy for seconds, in which it answers no other call.
     let known_generation =
         config.cached_list.as_ref().filter(|_| large_fleet && zone.is_none()).map(|k| k.generation);
     if let Some(cached_list) = zone.as_ref().map(|z| z.zone.endpoints(&z.names).0).or(config.cached_list) {
@@ -267,7 +263,7 @@
         core.first_list = Some(FirstListHold::new(now));
         let _ = core.list_requests.try_send(());
     }
-    // Another process may have ended while this forwarder's two processes ran, and left its log behind.
+    // A sibling process may have ended before this one started, and left its log behind.
     let sibling_state =
         claim.check_other().map_err(|e| format!("cannot lock the log in {}: {e}", claim.folder.display()))?;
     let sibling_running = matches!(sibling_state, OtherProcess::Running);
@@ -282,8 +278,7 @@
         core.logged_keys.clear();
     }
     // The rewritten log holds the open messages as this process knows them, without the damaged bytes. It
-    // does not name ended
-    // messages, so it is written only after the other log has been compared.
+    // does not name ended messages, so it is written only after the other log has been compared.
     if let Err(e) = core.wal.compact(core.ledger.open_messages()) {
         tracing::error!("log: it could not be rewritten at the start, and the old one is continued: {e}");
     }
@@ -393,8 +388,7 @@
 }
 
 /// Opens the listener for clients. A sibling process may listen on the same address, to take over. Any other
-/// listener there
-/// is a configuration error, which is detected as long as no sibling runs.
+/// listener there is a configuration error, which is detected as long as no sibling runs.
 fn client_listener(address: SocketAddr, sibling_running: bool) -> std::io::Result<TcpListener> {
     if !sibling_running {
         drop(TcpListener::bind(address)?);
@@ -443,8 +437,7 @@
 }
 
 /// Reloads the configuration and applies the settings that can change at run time. Returns true if discovery
-/// may have
-/// moved. A configuration that cannot be read or is invalid changes nothing.
+/// may have moved. A configuration that cannot be read or is invalid changes nothing.
 async fn reload(
     shared: &SharedState, current_config: &mut Config, current: &ProductSettings, reread: Reread<'_>,
 ) -> bool {
--- a/daemon/src/serve/tests.rs
+++ b/daemon/src/serve/tests.rs
@@ -1,18 +1,22 @@
-//! Where a process listens.
+//! The listening socket for clients, and reloading of the configuration.
 
 use super::*;
 
 #[test]
-fn another_process_of_ours_may_listen_beside_this_one_and_nobody_else() {
+fn only_a_sibling_process_may_listen_on_the_same_address() {
     let first = client_listener(([127, 0, 0, 1], 0).into(), false).unwrap();
     let at = first.local_addr().unwrap();
-    assert!(client_listener(at, false).is_err(), "whoever that is has another folder");
+    assert!(
+        client_listener(at, false).is_err(),
+        "a process with another state folder must not share the address"
+    );
     assert!(client_listener(at, true).is_ok());
 }
 
-/// The system has no descriptor for the file at the moment of the signal: it is read again, and a file that is wrong is not.
+/// The system may be out of file descriptors at the moment of the signal: reading is retried then, but not
+/// for an invalid file.
 #[test]
-fn a_file_that_cannot_be_read_for_a_moment_is_read_again() {
+fn a_configuration_that_temporarily_cannot_be_read_is_read_again() {
     let calls = Cell::new(0);
     let fails = |first: ReadError| {
         calls.set(0);
@@ -27,5 +31,5 @@
     assert_eq!(fails(ReadError::Invalid("no JSON".into())), Err(ReadError::Invalid("no JSON".into())));
     assert_eq!(calls.get(), 1);
     let never = || Err(ReadError::Unreadable("no descriptor".into()));
-    assert!(async_io::block_on(read_with_retries(&never)).is_err(), "it is given up in time");
+    assert!(async_io::block_on(read_with_retries(&never)).is_err(), "the retries must end");
 }
--- a/daemon/src/shared_waits.rs
+++ b/daemon/src/shared_waits.rs
@@ -1,13 +1,10 @@
 //! The waits files, in which the two processes of a forwarder share the retry-afters that endpoints have sent
-//! and the drains
-//! that discovery has reported. The rules count both processes as one sender, so what one has been told binds
-//! both.
+//! and the drains that discovery has reported. The rules count both processes as one sender, so what one has
+//! been told binds both.
 //!
 //! While both run, each appends what it learns to its own file in the state folder, behind a snapshot of all
-//! that it knew
-//! before, and reads the other's file. Times are those of the boot-time clock, which both read alike whatever
-//! the wall clock
-//! does.
+//! that it knew before, and reads the other's file. Times are those of the boot-time clock, which both read
+//! alike whatever the wall clock does.
 
 use crate::clock::Clock;
 use crate::state_folder::remove_if_exists;
@@ -26,6 +23,7 @@
 /// A retry-after that an endpoint sent.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct SharedRetryAfter {
+    /// The name of the endpoint.
     pub endpoint: String,
     /// No call may be sent to the endpoint before this time of the own clock.
     pub until: Micros,
@@ -34,6 +32,7 @@
 /// An endpoint that a list reports as draining or gone.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct SharedDrain {
+    /// The name of the endpoint.
     pub endpoint: String,
     /// The generation of that list.
     pub generation: u64,
@@ -42,7 +41,9 @@
 /// An entry of the other process's file.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum SiblingEntry {
+    /// An endpoint sent a retry-after.
     RetryAfter(SharedRetryAfter),
+    /// A list reported a drain.
     Drain(SharedDrain),
     /// The snapshot is complete.
     EndOfSnapshot,
@@ -50,15 +51,16 @@
 
 /// Writes the file of this process, and removes it when dropped.
 #[derive(Debug)]
-pub struct WaitWriter {
+pub struct WaitsFileWriter {
     path: PathBuf,
     file: Option<File>,
     bytes: u64,
 }
 
-impl WaitWriter {
-    pub fn new(path: PathBuf) -> WaitWriter {
-        WaitWriter { path, file: None, bytes: 0 }
+impl WaitsFileWriter {
+    /// For the file at this path, which is created with the first snapshot.
+    pub fn new(path: PathBuf) -> WaitsFileWriter {
+        WaitsFileWriter { path, file: None, bytes: 0 }
     }
 
     /// Whether the file has to be rewritten: it does not exist, is too long, or could not be written.
@@ -101,7 +103,7 @@
     }
 }
 
-impl Drop for WaitWriter {
+impl Drop for WaitsFileWriter {
     fn drop(&mut self) {
         let _ = remove_if_exists(&self.path);
     }
@@ -118,14 +120,15 @@
 
 /// Reads the file of the other process.
 #[derive(Debug)]
-pub struct WaitReader {
+pub struct WaitsFileReader {
     path: PathBuf,
     offset: u64,
 }
 
-impl WaitReader {
-    pub fn new(path: PathBuf) -> WaitReader {
-        WaitReader { path, offset: 0 }
+impl WaitsFileReader {
+    /// Reads the file at this path from its beginning.
+    pub fn new(path: PathBuf) -> WaitsFileReader {
+        WaitsFileReader { path, offset: 0 }
     }
 
     /// Returns the entries added since the last call. Lines that cannot be parsed are skipped.
--- a/daemon/src/shared_waits/tests.rs
+++ b/daemon/src/shared_waits/tests.rs
@@ -1,4 +1,4 @@
-//! What two processes of a forwarder tell each other of waits.
+//! The waits files of two sibling processes.
 
 use super::*;
 use std::fs::OpenOptions;
@@ -11,40 +11,43 @@
     SharedRetryAfter { endpoint: endpoint.into(), until: clock.now().plus(Micros(left_ms * 1000)) }
 }
 
-fn names(told: &[SiblingEntry]) -> Vec<&str> {
-    let name = |one: &SiblingEntry| match one {
+fn names(entries: &[SiblingEntry]) -> Vec<&str> {
+    let name = |entry: &SiblingEntry| match entry {
         SiblingEntry::RetryAfter(wait) => wait.endpoint.clone(),
         SiblingEntry::Drain(drain) => format!("{} drains by {}", drain.endpoint, drain.generation),
         SiblingEntry::EndOfSnapshot => END_OF_SNAPSHOT.to_owned(),
     };
-    told.iter().map(name).map(|name| &*name.leak()).collect()
+    entries.iter().map(name).map(|name| &*name.leak()).collect()
 }
 
 #[test]
-fn what_was_known_before_comes_first_and_each_wait_comes_once() {
+fn the_snapshot_comes_first_and_each_retry_after_is_read_once() {
     let (clock, path) = (Clock::default(), path("order"));
-    let (mut writer, mut reader) = (WaitWriter::new(path.clone()), WaitReader::new(path.clone()));
+    let (mut writer, mut reader) = (WaitsFileWriter::new(path.clone()), WaitsFileReader::new(path.clone()));
     assert_eq!(reader.read(&clock).unwrap(), [], "there is no file yet");
     assert!(writer.needs_snapshot());
     let known = [wait(&clock, "a", 900), wait(&clock, "over", 0)];
     writer.write_snapshot(&clock, &known, &[]).unwrap();
-    let told = reader.read(&clock).unwrap();
-    assert_eq!(names(&told), ["a", "."], "a wait that is over is none");
-    let SiblingEntry::RetryAfter(heard) = &told[0] else { panic!("{told:?}") };
-    let off = heard.until.since(known[0].until).max(known[0].until.since(heard.until));
-    assert!(off < Micros(20_000), "by the clock of another process: {off:?}");
+    let entries = reader.read(&clock).unwrap();
+    assert_eq!(names(&entries), ["a", "."], "an expired retry-after must not be returned");
+    let SiblingEntry::RetryAfter(received) = &entries[0] else { panic!("{entries:?}") };
+    let difference = received.until.since(known[0].until).max(known[0].until.since(received.until));
+    assert!(
+        difference < Micros(20_000),
+        "times must agree with the clock of the other process: {difference:?}"
+    );
     writer.append_retry_after(&clock, &wait(&clock, "b", 500)).unwrap();
     assert_eq!(names(&reader.read(&clock).unwrap()), ["b"]);
     assert_eq!(reader.read(&clock).unwrap(), []);
     drop(writer);
-    assert!(!path.exists(), "it goes with its process's part in it");
+    assert!(!path.exists(), "the file must be removed with its writer");
 }
 
 #[test]
-fn half_a_line_is_read_once_it_is_whole_and_noise_is_passed_over() {
+fn an_incomplete_line_is_read_later_and_invalid_lines_are_skipped() {
     let (clock, path) = (Clock::default(), path("half"));
-    let mut writer = WaitWriter::new(path.clone());
-    let mut reader = WaitReader::new(path.clone());
+    let mut writer = WaitsFileWriter::new(path.clone());
+    let mut reader = WaitsFileReader::new(path.clone());
     writer.write_snapshot(&clock, &[], &[]).unwrap();
     let mut file = OpenOptions::new().append(true).open(&path).unwrap();
     let whole = retry_after_line(&clock, &wait(&clock, "a", 900));
@@ -56,10 +59,10 @@
 }
 
 #[test]
-fn a_file_that_grew_long_is_begun_anew() {
+fn a_file_that_is_too_long_is_rewritten_and_read_again() {
     let (clock, path) = (Clock::default(), path("long"));
-    let mut writer = WaitWriter::new(path.clone());
-    let mut reader = WaitReader::new(path);
+    let mut writer = WaitsFileWriter::new(path.clone());
+    let mut reader = WaitsFileReader::new(path);
     writer.write_snapshot(&clock, &[], &[]).unwrap();
     while !writer.needs_snapshot() {
         writer.append_retry_after(&clock, &wait(&clock, "s-00000000", 900)).unwrap();
@@ -70,9 +73,9 @@
 }
 
 #[test]
-fn drains_are_told_with_the_version_of_their_list() {
+fn drains_are_shared_with_the_generation_of_their_list() {
     let (clock, path) = (Clock::default(), path("drains"));
-    let (mut writer, mut reader) = (WaitWriter::new(path.clone()), WaitReader::new(path));
+    let (mut writer, mut reader) = (WaitsFileWriter::new(path.clone()), WaitsFileReader::new(path));
     let drain = |endpoint: &str, generation| SharedDrain { endpoint: endpoint.into(), generation };
     writer.write_snapshot(&clock, &[], &[drain("a", 7)]).unwrap();
     writer.append_drain(&drain("b", 8)).unwrap();
--- a/daemon/src/show.rs
+++ b/daemon/src/show.rs
@@ -95,9 +95,9 @@
         _ => "has no vote",
     };
     let (me, refused) = (cell(&value["me"]), cell(&value["fence_refused"]));
-    let held = value["owned"].as_array().map_or(0, Vec::len);
+    let held_leases = value["owned"].as_array().map_or(0, Vec::len);
     format!(
-        "{coordinator}\n{me} {votes}, holds {held} leases, has kept epochs up to {}, refused {refused} of leases that were over\n",
+        "{coordinator}\n{me} {votes}, holds {held_leases} leases, has kept epochs up to {}, refused {refused} of leases that were over\n",
         cell(&value["epoch_kept"])
     )
 }
@@ -109,8 +109,8 @@
         .into_iter()
         .map(|mut row| {
             let lease = owned.iter().find(|o| o[..2] == row[..2]);
-            let shown = lease.map_or(["-".to_owned(), "-".to_owned()], |o| [o[2].clone(), o[3].clone()]);
-            row.extend(shown);
+            let text = lease.map_or(["-".to_owned(), "-".to_owned()], |o| [o[2].clone(), o[3].clone()]);
+            row.extend(text);
             row
         })
         .collect();
@@ -139,22 +139,22 @@
         let value = json!({"me": "n1", "members": [{"name": "n1", "address": "127.0.0.1:7946", "alive": true},
             {"name": "long-name", "address": "127.0.0.1:1", "alive": false}], "refused": {"forged": 3},
             "sent": {"datagrams": 5, "bytes": 500}, "believed": {"datagrams": 4, "bytes": 400}});
-        let shown = members(&value);
-        let address: Vec<_> = shown.lines().take(3).map(|l| l.find("127").or(l.find("ADDRESS"))).collect();
-        assert!(address.iter().all(|a| *a == address[0]) && shown.contains("dropped: forged 3"), "{shown}");
+        let text = members(&value);
+        let columns: Vec<_> = text.lines().take(3).map(|l| l.find("127").or(l.find("ADDRESS"))).collect();
+        assert!(
+            columns.iter().all(|column| *column == columns[0]) && text.contains("dropped: forged 3"),
+            "{text}"
+        );
         let coordinator = json!({"coordinator": "n2", "coordinator_epoch": 7, "me": "n1", "votes": true, "owned": [],
             "epoch_kept": 1006, "fence_refused": 3});
-        let shown = status(&coordinator);
-        assert!(shown.starts_with("n2 leads, epoch 7\nn1 votes, holds 0 leases"), "{shown}");
+        let text = status(&coordinator);
+        assert!(text.starts_with("n2 leads, epoch 7\nn1 votes, holds 0 leases"), "{text}");
         assert!(status(&json!({"me": "n1", "votes": false})).contains("lead\nn1 does not vote"));
         assert!(status(&json!({"me": "n4", "votes": null})).contains("lead\nn4 has no vote"));
         let value = json!({"me": "n1", "alone": false, "won": 2, "lease_ms": 3000, "gap_ms": 1100,
             "owned": [{"duty": "probe", "of": 7, "held_for_ms": 90, "ends_in_ms": 2500}],
             "wanted": [{"duty": "probe", "of": 7, "first": "n1"}, {"duty": "probe", "of": 8, "first": "n2"}]});
-        let shown = duties(&value);
-        assert!(
-            shown.lines().nth(1).unwrap().ends_with("2500") && shown.contains("1 of 2 leases"),
-            "{shown}"
-        );
+        let text = duties(&value);
+        assert!(text.lines().nth(1).unwrap().ends_with("2500") && text.contains("1 of 2 leases"), "{text}");
     }
 }
--- a/daemon/src/sibling.rs
+++ b/daemon/src/sibling.rs
@@ -3,20 +3,20 @@
 
 use crate::core_actor::CoreMessage;
 use crate::net::SharedState;
-use crate::shared_waits::WaitReader;
+use crate::shared_waits::WaitsFileReader;
 use crate::state_folder::{Claim, OrphanedLog, OtherProcess, remove_if_exists};
 use async_io::Timer;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Interval between checks for a sibling where upgrades_expected with two processes are not expected, since operators
-/// cannot call.
+/// Interval between checks for a sibling where no upgrade with two processes is expected, because operators
+/// cannot reach this process.
 const CHECK_INTERVAL: Duration = Duration::from_secs(2);
-/// Interval between these checks where they are: a starting process waits for what this one knows.
+/// Interval between checks for a sibling where such an upgrade is expected: a starting process waits for what
+/// this one knows.
 const UPGRADE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Interval between reads of the sibling's waits file. A call that crosses the response with a retry-after is
-/// allowed for a
-/// tenth of a second (100 ms); the sibling learns of the retry-after well before.
+/// allowed for a tenth of a second (100 ms); the sibling learns of the retry-after well before.
 const WAITS_READ_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Watches until the process ends, and keeps the process's claim until then.
@@ -29,7 +29,7 @@
     shared: Rc<SharedState>,
     claim: Claim,
     /// Set while a sibling runs.
-    waits_reader: Option<WaitReader>,
+    waits_reader: Option<WaitsFileReader>,
 }
 
 impl SiblingWatcher {
@@ -55,9 +55,9 @@
         }
     }
 
-    fn open_reader(&self) -> WaitReader {
+    fn open_reader(&self) -> WaitsFileReader {
         let [_, sibling_path] = self.claim.waits_files();
-        WaitReader::new(sibling_path)
+        WaitsFileReader::new(sibling_path)
     }
 
     /// Handles the presence of a sibling.
--- a/daemon/src/startup.rs
+++ b/daemon/src/startup.rs
@@ -19,7 +19,9 @@
 /// The opened state folder.
 #[derive(Debug)]
 pub struct OpenedState {
+    /// The claim to the files of this process.
     pub claim: Claim,
+    /// The write-ahead log.
     pub wal: Wal,
     /// The content of the log.
     pub scan: LogScan,
@@ -28,8 +30,7 @@
 }
 
 /// Opens the log and the maintenance file. Waits for a folder that fails, since a start without the files
-/// that it cannot read
-/// would lose their content.
+/// that it cannot read would lose their content.
 pub async fn open_folder(folder: &Path, log_bytes: u64) -> Result<OpenedState, String> {
     let started = Instant::now();
     let mut logged = false;
--- a/daemon/src/state_files.rs
+++ b/daemon/src/state_files.rs
@@ -1,6 +1,5 @@
 //! Small files in the state folder: the retained health of inactive destinations, whose loss only makes the
-//! forwarder more
-//! cautious, and the bound below which this member has promised epochs as a voter.
+//! forwarder more cautious, and the bound below which this member has promised epochs as a voter.
 
 use crate::net::SharedState;
 use async_channel::Receiver;
@@ -74,8 +73,7 @@
 pub const EPOCH_DISK_BYTES: u64 = 2 * 4096;
 
 /// Reads the epoch bound of an earlier process. A file that cannot be used is logged and counts as lost, so
-/// the other voters
-/// are asked.
+/// the other voters are asked.
 pub fn load_epoch_bound(folder: &Path) -> duties::StoredBound {
     let path = folder.join(EPOCH_FILE);
     let reason = match std::fs::read_to_string(&path) {
@@ -92,8 +90,7 @@
 }
 
 /// Saves an epoch bound. Data that write() has accepted survives the process, and the old file stays until
-/// the new one is
-/// complete.
+/// the new one is complete.
 pub fn save_epoch_bound(folder: &Path, bound: u64) -> io::Result<()> {
     let replacement = folder.join(EPOCH_REPLACEMENT);
     std::fs::write(&replacement, format!("{bound} {bound}\n"))?;
--- a/daemon/src/state_folder.rs
+++ b/daemon/src/state_folder.rs
@@ -2,8 +2,7 @@
 //! upgrade.
 //!
 //! Each of the two has its own log, and its own lock, which is released when the process dies.
-//! docs/design/upgrade.md gives
-//! the reasons.
+//! docs/design/upgrade.md gives the reasons.
 
 use onyxrock::core::{LogScan, scan_log};
 use std::fs::{File, OpenOptions, TryLockError};
@@ -40,16 +39,17 @@
 ];
 
 /// Attempts to lock the files of a process. A process that checks for its sibling holds the sibling's lock
-/// for a moment, so a
-/// process that starts just then has to retry.
+/// for a moment, so a process that starts just then has to retry.
 const LOCK_ATTEMPTS: u32 = 25;
-/// Interval between these attempts.
+/// Interval between attempts to lock the files.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The files of this process, locked until it ends.
 #[derive(Debug)]
 pub struct Claim {
+    /// The state folder.
     pub folder: PathBuf,
+    /// The names of the claimed files.
     pub files: ProcessFiles,
     other_files: ProcessFiles,
     _lock: File,
--- a/daemon/src/state_folder/tests.rs
+++ b/daemon/src/state_folder/tests.rs
@@ -1,9 +1,9 @@
-//! Places in the folder that lasts.
+//! Claims of processes to the state folder.
 
 use super::*;
 
 #[test]
-fn two_have_a_place_each_and_a_third_has_none() {
+fn two_processes_claim_different_files_and_a_third_is_refused() {
     let folder = std::env::temp_dir().join(format!("onyxrock-folder-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let first = Claim::acquire(&folder).unwrap();
@@ -15,13 +15,13 @@
     assert!(third.to_string().contains("two processes"), "{third}");
     std::fs::write(folder.join(PROCESS_FILES[0].log), b"noise").unwrap();
     drop(first);
-    let Ok(OtherProcess::Gone(orphaned)) = second.check_other() else { panic!("its process is gone") };
+    let Ok(OtherProcess::Gone(orphaned)) = second.check_other() else { panic!("the first process is gone") };
     assert!(orphaned.exists());
     assert_eq!(orphaned.scan().unwrap().damaged_bytes, 5);
     assert_eq!(
         lock(&folder, PROCESS_FILES[0]).unwrap().map(drop),
         None,
-        "it is nobody's while it is looked at"
+        "the orphaned log must stay locked while it is held"
     );
     orphaned.remove().unwrap();
     assert!(!orphaned.exists());
--- a/daemon/src/wal.rs
+++ b/daemon/src/wal.rs
@@ -86,8 +86,8 @@
     }
 
     /// Appends records in one write. `open_messages` yields all messages that are open before these records,
-    /// which is what a
-    /// rewritten log would hold. An acceptance is refused unless the records that must follow it still fit.
+    /// which is what a rewritten log would hold. An acceptance is refused unless the records that must follow
+    /// it still fit.
     pub fn append<'a>(
         &mut self, records: &[Record],
         open_messages: impl Fn() -> Box<dyn Iterator<Item = &'a OpenMessage> + 'a>,
@@ -121,10 +121,8 @@
     }
 
     /// Handles a failed write of this many bytes, part of which may have reached the file. A reader skips an
-    /// incomplete record as
-    /// damage, so it is truncated if possible. If it cannot be truncated, the noted size includes it, so that
-    /// a later truncation
-    /// does not remove the records behind it.
+    /// incomplete record as damage, so it is truncated if possible. If it cannot be truncated, the noted size
+    /// includes it, so that a later truncation does not remove the records behind it.
     fn truncate_failed_write(&mut self, record_bytes: u64) {
         if self.file.set_len(self.size).is_err() {
             let largest_size = self.size + record_bytes;
@@ -139,7 +137,7 @@
         if self.size + bytes.len() as u64 + self.other_files_bytes() > self.budget {
             return Err(io::Error::new(
                 ErrorKind::StorageFull,
-                "the disk budget has no room for a rewritten log other_files the old one",
+                "the disk budget has no room for a rewritten log beside the old one",
             ));
         }
         let (new, path) = (self.folder.join(self.files.new), self.folder.join(self.files.log));
--- a/daemon/src/wal/tests.rs
+++ b/daemon/src/wal/tests.rs
@@ -1,4 +1,4 @@
-//! The log over a folder that fails, is full, or was left by a process that died.
+//! The log in a folder that fails, is full, or was left by a process that died.
 
 use super::*;
 use onyxrock::core::{AcceptedMessage, AttemptStatus, recover};
@@ -15,7 +15,7 @@
         std::fs::create_dir_all(&path).unwrap();
         Folder(path)
     }
-    /// Every file in whole blocks of 512 bytes, as the platform counts.
+    /// Bytes of all files in whole blocks of 512 bytes, as the platform counts them.
     fn used(&self) -> u64 {
         let files = std::fs::read_dir(&self.0).unwrap();
         files.map(|f| f.unwrap().metadata().unwrap().len().div_ceil(512) * 512).sum()
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_long_life_stays_inside_the_bound_and_forgets_nothing() {
+fn a_log_under_long_use_stays_within_its_budget_and_loses_nothing() {
     const BOUND: u64 = 500_000;
     let folder = Folder::new("life");
     let (mut wal, _) = Wal::open(&folder.0, BOUND).unwrap();
@@ -64,7 +64,8 @@
             continue;
         }
         let at = Micros(n);
-        // Whatever was taken on, its other records find room: a day that cannot log them is lost.
+        // The later records of each accepted message must fit: a forwarder that cannot log them loses the
+        // message's outcome.
         assert!(put(
             &mut wal,
             &mut owed,
@@ -86,7 +87,7 @@
 }
 
 #[test]
-fn a_rewrite_that_death_cut_short_changes_nothing() {
+fn a_rewrite_interrupted_by_a_crash_changes_nothing() {
     let folder = Folder::new("cut");
     let (mut wal, _) = Wal::open(&folder.0, 1_000_000).unwrap();
     let taken = Record::Accepted(AcceptedMessage { number: 7, ..AcceptedMessage::default() });
@@ -98,12 +99,13 @@
     assert_eq!(recover(Wal::open(&folder.0, 1_000_000).unwrap().1.records).len(), 1);
 }
 
-/// A write that was cut short, and could not be cut off: the records behind it stay, whatever fails later.
+/// A failed write may leave part of a record that cannot be truncated. The records behind it must stay,
+/// whatever fails later.
 #[test]
-fn half_a_record_that_stays_takes_nothing_along() {
+fn a_partial_record_that_stays_does_not_remove_later_records() {
     let folder = Folder::new("half");
     let (mut wal, _) = Wal::open(&folder.0, 1_000_000).unwrap();
-    // A file that cannot be made shorter.
+    // This file cannot be made shorter.
     let sealed = memfd_create("log", MemfdFlags::ALLOW_SEALING).unwrap();
     fcntl_add_seals(&sealed, SealFlags::SHRINK).unwrap();
     wal.file = File::from(sealed);
@@ -119,7 +121,7 @@
     wal.truncate_failed_write(half.len() as u64 * 2);
     assert!(put(&mut wal, &mut owed, &taken(3)));
     let length = wal.file.metadata().unwrap().len();
-    assert_eq!(wal.size(), length, "the next cut is behind what has been written since");
+    assert_eq!(wal.size(), length, "a later truncation must keep what has been written since");
     let mut bytes = vec![0; length as usize];
     wal.file.read_exact_at(&mut bytes, 0).unwrap();
     let scan = scan_log(&bytes);
