--- a/daemon/src/clock.rs
+++ b/daemon/src/clock.rs
@@ -75,8 +75,8 @@
 }
 
 /// Converts to the standard library's type.
-pub fn to_duration(m: Micros) -> Duration {
-    Duration::from_micros(m.0)
+pub fn to_duration(time: Micros) -> Duration {
+    Duration::from_micros(time.0)
 }
 
 fn wall_time() -> Micros {
--- a/daemon/src/core_actor/calls.rs
+++ b/daemon/src/core_actor/calls.rs
@@ -47,7 +47,7 @@
 
     /// Sends a probe: a call like any other, but without a log record and without a message.
     pub(super) fn send_probe(&mut self, now: Micros, number: u64, receiver: ReceiverId, timeout: Micros) {
-        let Some(probing) = &self.duty_runner else { return };
+        let Some(duty_runner) = &self.duty_runner else { return };
         self.queue_call(OutboundCall {
             unsafe_to_repeat: false,
             number,
@@ -59,8 +59,8 @@
             frontend_note: String::new(),
             body: Vec::new(),
             started: now,
-            timeout: timeout.min(probing.probe_timeout()),
-            probe_path: Some(probing.probe_path.clone()),
+            timeout: timeout.min(duty_runner.probe_timeout()),
+            probe_path: Some(duty_runner.probe_path.clone()),
             cancellation: None,
         });
     }
@@ -69,12 +69,12 @@
     /// ledger expects one for each call: the endpoint may be gone, its mailbox full, or it is a gateway,
     /// which has no probes.
     pub(super) fn queue_call(&mut self, call: OutboundCall) {
-        let (now, moot) = (call.started, call.outcome(call.started, Verdict::Moot));
+        let (now, not_sent) = (call.started, call.outcome(call.started, Verdict::Moot));
         let unsupported_probe = call.probe_path.is_some() && self.directory.is_fixed(call.receiver);
         self.directory.call_started(call.receiver);
         let mailbox = self.mailboxes.get(&call.receiver).filter(|_| !unsupported_probe);
         if mailbox.is_none_or(|mailbox| mailbox.try_send(ToEndpoint::Call(Box::new(call))).is_err()) {
-            self.on_attempt_ended(now, &moot);
+            self.on_attempt_ended(now, &not_sent);
         }
     }
 
--- a/daemon/src/core_actor/guard.rs
+++ b/daemon/src/core_actor/guard.rs
@@ -44,14 +44,16 @@
             counter.increment();
             Err(Verdict::HeldBack)
         };
-        let Some(peer) = self.directory.active_endpoint(request.receiver) else { return Err(Verdict::Moot) };
+        let Some(endpoint) = self.directory.active_endpoint(request.receiver) else {
+            return Err(Verdict::Moot);
+        };
         if self.sending_stopped && !request.partly_written {
             return held_back(&counters.held_back_ending);
         }
         // The list with the drain may have arrived late, so the grace for calls after a drain counts as used
         // up.
-        if peer.draining_since.is_some() && !request.partly_written {
-            let in_maintenance = self.directory.maintenance().contains(&peer.name);
+        if endpoint.draining_since.is_some() && !request.partly_written {
+            let in_maintenance = self.directory.maintenance().contains(&endpoint.name);
             let counter =
                 if in_maintenance { &counters.held_back_maintenance } else { &counters.held_back_drain };
             return held_back(counter);
@@ -75,8 +77,8 @@
 
     /// Permits a probe if this member holds the lease for it.
     fn permit_probe(&mut self, now: Micros, number: u64, valid_until: Micros) -> PermitResult {
-        let Some(probing) = &mut self.duty_runner else { return Err(Verdict::Moot) };
-        let epoch_if_leased = probing.begin_probe(now, number);
+        let Some(duty_runner) = &mut self.duty_runner else { return Err(Verdict::Moot) };
+        let epoch_if_leased = duty_runner.begin_probe(now, number);
         let counters = &self.shared.counters;
         if epoch_if_leased.is_some() { &counters.probes } else { &counters.probes_refused }.increment();
         let epoch = epoch_if_leased.ok_or(Verdict::Moot)?;
@@ -85,25 +87,32 @@
 
     /// Logs the attempt first: an attempt that is not in the log could be repeated after a restart.
     fn permit_attempt(&mut self, now: Micros, request: PermitRequest, valid_until: Micros) -> PermitResult {
-        let Some(peer) = self.directory.active_endpoint(request.receiver) else { return Err(Verdict::Moot) };
+        let Some(endpoint) = self.directory.active_endpoint(request.receiver) else {
+            return Err(Verdict::Moot);
+        };
         let repeat = self
             .ledger
             .get(request.number)
             .is_some_and(|open| open.first_possible_run.is_some() || !open.in_flight.is_empty());
-        let record =
-            match self.ledger.begin_attempt(request.number, request.attempt, &peer.name, &peer.zone, now) {
-                Ok(record) => record,
-                Err(AttemptDenied::NotOpen) => return Err(Verdict::Moot),
-                Err(AttemptDenied::RepeatForbidden) => {
-                    self.shared.counters.held_back_repeat.increment();
-                    tracing::error!(
-                        number = request.number,
-                        attempt = request.attempt,
-                        "attempt refused: its class does not allow a repeat; the message is held back"
-                    );
-                    return Err(Verdict::HeldBack);
-                }
-            };
+        let record = match self.ledger.begin_attempt(
+            request.number,
+            request.attempt,
+            &endpoint.name,
+            &endpoint.zone,
+            now,
+        ) {
+            Ok(record) => record,
+            Err(AttemptDenied::NotOpen) => return Err(Verdict::Moot),
+            Err(AttemptDenied::RepeatForbidden) => {
+                self.shared.counters.held_back_repeat.increment();
+                tracing::error!(
+                    n = request.number,
+                    attempt = request.attempt,
+                    "attempt refused: its class does not allow a repeat; the message is held back"
+                );
+                return Err(Verdict::HeldBack);
+            }
+        };
         if !self.log_now(std::slice::from_ref(&record)) {
             self.ledger.undo_attempt(request.number, request.attempt);
             return Err(Verdict::Moot);
--- a/daemon/src/core_actor/takeover.rs
+++ b/daemon/src/core_actor/takeover.rs
@@ -32,8 +32,8 @@
     /// Copies the open messages of a process that is gone, under new numbers. A process that died while it
     /// copied between the two logs leaves messages in both. A message that is already open here, or was
     /// copied before and has ended since, is recognized by its key and skipped.
-    pub(super) fn copy_open_messages(&mut self, orphaned: &OrphanedLog) -> std::io::Result<()> {
-        let scan = orphaned.scan()?;
+    pub(super) fn copy_open_messages(&mut self, orphaned_log: &OrphanedLog) -> std::io::Result<()> {
+        let scan = orphaned_log.scan()?;
         if scan.damaged_bytes > 0 {
             tracing::warn!(
                 "log: {} bytes in the log of another process belong to no complete record and are skipped",
@@ -61,16 +61,16 @@
     }
 
     /// Copies the open messages of an orphaned log, then removes the log.
-    pub(super) fn take_over_log(&mut self, orphaned: &OrphanedLog) -> std::io::Result<()> {
-        self.copy_open_messages(orphaned)?;
-        orphaned.remove()?;
+    pub(super) fn take_over_log(&mut self, orphaned_log: &OrphanedLog) -> std::io::Result<()> {
+        self.copy_open_messages(orphaned_log)?;
+        orphaned_log.remove()?;
         self.logged_keys.clear();
         Ok(())
     }
 
     /// Takes over an orphaned log. A failure is retried at the next check for a sibling.
-    pub fn try_take_over_log(&mut self, orphaned: &OrphanedLog) {
-        if let Err(e) = self.take_over_log(orphaned) {
+    pub fn try_take_over_log(&mut self, orphaned_log: &OrphanedLog) {
+        if let Err(e) = self.take_over_log(orphaned_log) {
             tracing::error!(
                 "log: the log of another process could not be taken over and will be retried: {e}"
             );
--- a/daemon/src/core_actor/tests.rs
+++ b/daemon/src/core_actor/tests.rs
@@ -23,18 +23,18 @@
     let names = onyxrock::core::NameIndex { classes, ..Default::default() };
     let ledger = Ledger::new(settings, names, Default::default(), 1);
     let wal = Wal::open(folder, 1_000_000).unwrap().0;
-    let rules = DirectorySettings {
+    let directory_settings = DirectorySettings {
         max_endpoints: 100,
         deactivate_after: None,
         health_decay: HealthDecay::default(),
         zones: BTreeMap::new(),
     };
-    CoreActor::new(shared, ledger, wal, bounded(1).0, BTreeMap::new(), 4, Directory::new(rules))
+    CoreActor::new(shared, ledger, wal, bounded(1).0, BTreeMap::new(), 4, Directory::new(directory_settings))
 }
 
 /// A permit request for an attempt of message 1 at the only endpoint.
-fn permit_request(attempt: u32, begun: bool) -> PermitRequest {
-    PermitRequest { number: 1, attempt, receiver: ReceiverId(1), partly_written: begun }
+fn permit_request(attempt: u32, partly_written: bool) -> PermitRequest {
+    PermitRequest { number: 1, attempt, receiver: ReceiverId(1), partly_written }
 }
 
 /// An actor with an endpoint list that has accepted message 1, in a state folder of its own.
@@ -46,22 +46,22 @@
     actor.on_list(now, list_with(EntryState::Ready));
     actor.activate_destination(now, 1);
     let deadline = now.plus(Micros(5_000_000));
-    let taken = AcceptedMessage {
+    let message = AcceptedMessage {
         number: 1,
         class: "a".into(),
         destination: 1,
         deadline,
         ..AcceptedMessage::default()
     };
-    assert!(actor.log_now(&[Record::Accepted(taken.clone())]));
-    actor.ledger.accept(now, taken);
+    assert!(actor.log_now(&[Record::Accepted(message.clone())]));
+    actor.ledger.accept(now, message);
     (folder, actor, now)
 }
 
-fn list_with(listing: EntryState) -> EndpointList {
+fn list_with(state: EntryState) -> EndpointList {
     let entry = ListEntry {
         receiver: ReceiverId(0),
-        state: listing,
+        state,
         destination: DestinationId(1),
         kind: KindId(0),
         zone: ZoneId(0),
@@ -81,17 +81,17 @@
     let now = actor.shared.clock.now();
     actor.on_list(now, list_with(EntryState::Ready));
     actor.activate_destination(now, 1);
-    let taken = AcceptedMessage {
+    let message = AcceptedMessage {
         number: 1,
         class: "a".into(),
         destination: 1,
         deadline: now.plus(Micros(5_000_000)),
         ..AcceptedMessage::default()
     };
-    actor.ledger.accept(now, taken);
-    let mut steps = Vec::new();
-    actor.ledger.decide(now, true, &mut steps);
-    assert!(matches!(steps[0], LedgerAction::Call { number: 1, .. }));
+    actor.ledger.accept(now, message);
+    let mut actions = Vec::new();
+    actor.ledger.decide(now, true, &mut actions);
+    assert!(matches!(actions[0], LedgerAction::Call { number: 1, .. }));
     assert_eq!(
         actor.permit_call(now, permit_request(1, false)),
         Err(Verdict::Moot),
@@ -121,18 +121,18 @@
 /// A message whose client may be gone can be withdrawn until a call is permitted. After that it must not be
 /// withdrawn, and the reply has to say so.
 #[rstest]
-fn a_message_is_not_withdrawn_after_its_call_is_permitted(#[values(false, true)] begun: bool) {
-    let (folder, mut actor, now) = actor_with_message(&format!("back-{begun}"));
+fn a_message_is_not_withdrawn_after_its_call_is_permitted(#[values(false, true)] permitted: bool) {
+    let (folder, mut actor, now) = actor_with_message(&format!("back-{permitted}"));
     actor.ledger.decide(now, true, &mut Vec::new());
-    if begun {
+    if permitted {
         assert!(actor.permit_call(now, permit_request(0, false)).is_ok());
     }
-    let (reply, back) = bounded(1);
+    let (reply, withdrawn) = bounded(1);
     actor.handle(CoreMessage::WithdrawIfUntried(1, reply));
-    assert_eq!((back.try_recv(), actor.ledger.get(1).is_some()), (Ok(!begun), begun));
+    assert_eq!((withdrawn.try_recv(), actor.ledger.get(1).is_some()), (Ok(!permitted), permitted));
     let logged = recover(Wal::open(&folder, 1_000_000).unwrap().1.records);
-    assert_eq!(logged.contains_key(&1), begun, "the log must agree");
-    if !begun {
+    assert_eq!(logged.contains_key(&1), permitted, "the log must agree");
+    if !permitted {
         assert_eq!(
             actor.permit_call(now, permit_request(0, false)),
             Err(Verdict::Moot),
@@ -149,10 +149,10 @@
 #[case::list_reports_ready(Some(EntryState::Ready), 1)]
 #[case::no_list_comes(None, 1)]
 fn no_call_is_sent_on_the_cached_list_before_the_first_list(
-    #[case] told: Option<EntryState>, #[case] calls: usize,
+    #[case] listed_state: Option<EntryState>, #[case] calls: usize,
 ) {
     let folder = std::env::temp_dir().join(format!("onyxrock-actor-first-{}", std::process::id()));
-    let folder = folder.join(format!("{told:?}-{calls}"));
+    let folder = folder.join(format!("{listed_state:?}-{calls}"));
     std::fs::create_dir_all(&folder).unwrap();
     let mut actor = new_actor(&folder);
     let now = actor.shared.clock.now();
@@ -173,13 +173,13 @@
     actor.process_due_work();
     let queued = |actor: &CoreActor| actor.mailboxes.values().map(Sender::len).sum::<usize>();
     assert_eq!(queued(&actor), 0);
-    match told {
-        Some(listing) => actor.on_list(actor.shared.clock.now(), list_with(listing)),
+    match listed_state {
+        Some(state) => actor.on_list(actor.shared.clock.now(), list_with(state)),
         // Discovery is silent: what it knows may be as old.
         None => actor.first_list = Some(FirstListHold::new(Micros(now.0 - 6_000_000))),
     }
     actor.process_due_work();
-    let called = actor.mailboxes.values().filter(|b| !b.is_empty()).count();
+    let called = actor.mailboxes.values().filter(|mailbox| !mailbox.is_empty()).count();
     assert_eq!(called, calls);
     std::fs::remove_dir_all(&folder).unwrap();
 }
@@ -189,19 +189,19 @@
 #[test]
 fn a_call_is_not_written_to_the_former_address_of_its_endpoint() {
     let (folder, mut actor, now) = actor_with_message("moved");
-    let at = list_with(EntryState::Ready).entries[0].address;
+    let former_address = list_with(EntryState::Ready).entries[0].address;
     actor.ledger.decide(now, true, &mut Vec::new());
-    let mut moved = list_with(EntryState::Ready);
-    moved.entries[0].address = "127.0.0.1:2".parse().unwrap();
-    let there = moved.entries[0].address;
-    actor.on_list(now, moved);
-    let mut asks = |at| {
-        let (reply, says) = bounded(1);
-        actor.handle(CoreMessage::RequestPermit { request: permit_request(0, false), address: at, reply });
-        says.try_recv().unwrap()
+    let mut moved_list = list_with(EntryState::Ready);
+    moved_list.entries[0].address = "127.0.0.1:2".parse().unwrap();
+    let new_address = moved_list.entries[0].address;
+    actor.on_list(now, moved_list);
+    let mut request_permit = |address| {
+        let (reply, decision) = bounded(1);
+        actor.handle(CoreMessage::RequestPermit { request: permit_request(0, false), address, reply });
+        decision.try_recv().unwrap()
     };
-    assert_eq!(asks(at), Err(Verdict::HeldBack));
-    assert!(asks(there).is_ok());
+    assert_eq!(request_permit(former_address), Err(Verdict::HeldBack));
+    assert!(request_permit(new_address).is_ok());
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
@@ -210,38 +210,41 @@
 #[test]
 fn a_call_decided_before_a_retry_after_is_not_written_during_it() {
     let (folder, mut actor, now) = actor_with_message("wait");
-    let mut steps = Vec::new();
-    actor.ledger.decide(now, true, &mut steps);
-    let to = ReceiverId(1);
-    let (told, late) = (now.plus(Micros(300_000)), now.plus(Micros(900_000)));
-    assert!(actor.permit_call(told, permit_request(0, false)).is_ok(), "no retry-after has arrived yet");
-    actor.handle(CoreMessage::RetryAfter { receiver: to, until: told.plus(Micros(2_000_000)) });
+    let mut actions = Vec::new();
+    actor.ledger.decide(now, true, &mut actions);
+    let receiver = ReceiverId(1);
+    let (response_at, connected_at) = (now.plus(Micros(300_000)), now.plus(Micros(900_000)));
+    assert!(
+        actor.permit_call(response_at, permit_request(0, false)).is_ok(),
+        "no retry-after has arrived yet"
+    );
+    actor.handle(CoreMessage::RetryAfter { receiver, until: response_at.plus(Micros(2_000_000)) });
     assert_eq!(
-        actor.permit_call(late, permit_request(0, true)),
+        actor.permit_call(connected_at, permit_request(0, true)),
         Err(Verdict::HeldBack),
         "its last byte would be sent during the retry-after"
     );
     assert_eq!(actor.shared.counters.held_back_wait.get(), 1);
-    let (elapsed, verdict) = (late.since(now), Verdict::HeldBack);
-    let (finished, limit) = (false, (None, None));
+    let (elapsed, verdict) = (connected_at.since(now), Verdict::HeldBack);
+    let (finished, load_report) = (false, (None, None));
     let held_back = AttemptOutcome {
         number: 1,
         attempt: 0,
-        receiver: to,
+        receiver,
         verdict,
         elapsed,
         finished,
-        load_report: limit,
+        load_report,
         wait_until: Micros(0),
     };
-    actor.on_attempt_ended(late, &held_back);
+    actor.on_attempt_ended(connected_at, &held_back);
     assert_eq!(actor.ledger.get(1).map(|o| (o.attempts, o.in_flight.len())), Some((0, 0)));
-    actor.ledger.decide(late, true, &mut steps);
-    assert_eq!(steps.len(), 1, "the call must not be decided again");
-    let over = told.plus(Micros(2_000_000));
-    actor.ledger.decide(over, true, &mut steps);
-    assert!(matches!(steps[1..], [LedgerAction::Call { number: 1, attempt: 1, .. }]), "{steps:?}");
-    assert!(actor.permit_call(over, permit_request(1, false)).is_ok());
+    actor.ledger.decide(connected_at, true, &mut actions);
+    assert_eq!(actions.len(), 1, "the call must not be decided again");
+    let retry_after_end = response_at.plus(Micros(2_000_000));
+    actor.ledger.decide(retry_after_end, true, &mut actions);
+    assert!(matches!(actions[1..], [LedgerAction::Call { number: 1, attempt: 1, .. }]), "{actions:?}");
+    assert!(actor.permit_call(retry_after_end, permit_request(1, false)).is_ok());
     assert_eq!(actor.ledger.get(1).map(|o| o.attempts), Some(1));
     std::fs::remove_dir_all(&folder).unwrap();
 }
@@ -257,10 +260,10 @@
     let now = actor.shared.clock.now();
     let deadline = now.plus(Micros(5_000_000));
     let mut log = Vec::new();
-    let id = "id-1".to_owned();
+    let request_id = "id-1".to_owned();
     Record::Accepted(AcceptedMessage {
         number: 1,
-        request_id: id,
+        request_id,
         class: "a".into(),
         destination: 1,
         deadline,
@@ -268,25 +271,29 @@
     })
     .write(&mut log);
     std::fs::write(&claim.other_logs()[0], &log).unwrap();
-    let Ok(crate::state_folder::OtherProcess::Gone(left)) = claim.check_other() else {
+    let Ok(crate::state_folder::OtherProcess::Gone(orphaned_log)) = claim.check_other() else {
         panic!("no sibling runs")
     };
-    actor.copy_open_messages(&left).unwrap();
-    let n = actor.ledger.open_messages().next().expect("the message is taken over").accepted.number;
-    actor.handle(CoreMessage::NoticeDelivered(n));
-    actor.copy_open_messages(&left).unwrap();
+    actor.copy_open_messages(&orphaned_log).unwrap();
+    let number = actor.ledger.open_messages().next().expect("the message is taken over").accepted.number;
+    actor.handle(CoreMessage::NoticeDelivered(number));
+    actor.copy_open_messages(&orphaned_log).unwrap();
     assert_eq!(
         actor.ledger.open_messages().count(),
         0,
         "the message must not be taken over again from the log that remained"
     );
     let scan = Wal::open(&folder, 1_000_000).unwrap().1;
-    let mut next = new_actor(&folder);
-    next.note_logged_messages(&scan.records);
-    next.copy_open_messages(&left).unwrap();
-    assert_eq!(next.ledger.open_messages().count(), 0, "the next process must not take it over either");
-    next.take_over_log(&left).unwrap();
-    assert!(!left.exists() && next.logged_keys.is_empty());
+    let mut next_process = new_actor(&folder);
+    next_process.note_logged_messages(&scan.records);
+    next_process.copy_open_messages(&orphaned_log).unwrap();
+    assert_eq!(
+        next_process.ledger.open_messages().count(),
+        0,
+        "the next process must not take it over either"
+    );
+    next_process.take_over_log(&orphaned_log).unwrap();
+    assert!(!orphaned_log.exists() && next_process.logged_keys.is_empty());
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
@@ -301,9 +308,9 @@
     let now = actor.shared.clock.now();
     actor.on_list(now, list_with(EntryState::Ready));
     let deadline = now.plus(Micros(5_000_000));
-    let taken = |n: u64| AcceptedMessage {
-        number: n,
-        request_id: format!("id-{n}"),
+    let message = |number: u64| AcceptedMessage {
+        number,
+        request_id: format!("id-{number}"),
         class: "a".into(),
         destination: 1,
         deadline,
@@ -311,30 +318,40 @@
     };
     let (endpoint, zone) = ("e".to_owned(), "z".to_owned());
     let mut log = Vec::new();
-    Record::Accepted(taken(1)).write(&mut log);
-    Record::Accepted(taken(2)).write(&mut log);
+    Record::Accepted(message(1)).write(&mut log);
+    Record::Accepted(message(2)).write(&mut log);
     Record::Attempt { number: 2, attempt: 0, endpoint, zone, at: now }.write(&mut log);
-    actor.ledger.accept(now, AcceptedMessage { number: 1, request_id: "ours".into(), ..taken(1) });
+    actor.ledger.accept(now, AcceptedMessage { number: 1, request_id: "ours".into(), ..message(1) });
     for _ in 0..2 {
         std::fs::write(&claim.other_logs()[0], &log).unwrap();
-        let Ok(crate::state_folder::OtherProcess::Gone(left)) = claim.check_other() else {
+        let Ok(crate::state_folder::OtherProcess::Gone(orphaned_log)) = claim.check_other() else {
             panic!("no sibling runs")
         };
-        actor.try_take_over_log(&left);
-        assert!(!left.exists());
+        actor.try_take_over_log(&orphaned_log);
+        assert!(!orphaned_log.exists());
     }
-    let owed: Vec<_> = actor
+    let open_messages: Vec<_> = actor
         .ledger
         .open_messages()
-        .map(|o| (o.accepted.number, o.accepted.request_id.as_str(), o.first_possible_run.is_some()))
+        .map(|message| {
+            (
+                message.accepted.number,
+                message.accepted.request_id.as_str(),
+                message.first_possible_run.is_some(),
+            )
+        })
         .collect();
-    assert_eq!(owed, [(1, "ours", false), (2, "id-1", false), (3, "id-2", true)]);
-    let mut steps = Vec::new();
-    actor.ledger.decide(now, true, &mut steps);
-    let ended = |s: &LedgerAction| {
-        matches!(s, LedgerAction::ReportFinalStatus { number: 3, status: FinalStatus::Failed })
+    assert_eq!(open_messages, [(1, "ours", false), (2, "id-1", false), (3, "id-2", true)]);
+    let mut actions = Vec::new();
+    actor.ledger.decide(now, true, &mut actions);
+    let failed = |action: &LedgerAction| {
+        matches!(action, LedgerAction::ReportFinalStatus { number: 3, status: FinalStatus::Failed })
     };
-    assert_eq!(steps.iter().filter(|s| ended(s)).count(), 1, "an unsafe message must not be repeated");
+    assert_eq!(
+        actions.iter().filter(|action| failed(action)).count(),
+        1,
+        "an unsafe message must not be repeated"
+    );
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
@@ -343,15 +360,18 @@
 #[test]
 fn a_start_without_its_first_list_sends_only_within_the_grace() {
     let start = Micros(1_000_000_000);
-    let at = |ms: u64| start.plus(Micros(ms * 1000));
+    let after_ms = |ms: u64| start.plus(Micros(ms * 1000));
     let mut first_list = FirstListHold::new(start);
     assert!(first_list.holds(start));
-    first_list.failed(at(30));
+    first_list.failed(after_ms(30));
     let held: Vec<_> =
-        [30, 800, 850, 3000, 5999, 6000].into_iter().filter(|ms| first_list.holds(at(*ms))).collect();
+        [30, 800, 850, 3000, 5999, 6000].into_iter().filter(|ms| first_list.holds(after_ms(*ms))).collect();
     assert_eq!(held, [850, 3000, 5999]);
-    assert_eq!((first_list.due(at(30)), first_list.due(at(850))), (Some(at(850)), Some(at(6000))));
-    assert_eq!(first_list.due(at(6000)), None);
+    assert_eq!(
+        (first_list.due(after_ms(30)), first_list.due(after_ms(850))),
+        (Some(after_ms(850)), Some(after_ms(6000)))
+    );
+    assert_eq!(first_list.due(after_ms(6000)), None);
 }
 
 /// While the folder fails, work that needs a record first is refused, and records of events that have
@@ -366,20 +386,20 @@
     let before = std::fs::read(&log).unwrap();
     // The log has no room at all.
     actor.wal = Wal::open(&folder, 0).unwrap().0;
-    let n = 1;
+    let number = 1;
     actor.log_or_queue(Some(Record::Outcome {
-        number: n,
+        number,
         attempt: 0,
         status: onyxrock::core::AttemptStatus::NeverRan,
     }));
-    actor.log_or_queue(Some(Record::Closed(n)));
+    actor.log_or_queue(Some(Record::Closed(number)));
     assert_eq!(std::fs::read(&log).unwrap(), before, "the full log must not change");
     assert_eq!(actor.shared.counters.wal_waiting.get(), 2);
     assert!(
         !actor.log_now(&[Record::Accepted(AcceptedMessage { number: 2, ..AcceptedMessage::default() })]),
         "no message may be accepted"
     );
-    assert!(logged().contains_key(&n));
+    assert!(logged().contains_key(&number));
     let due = actor.unwritten.due().expect("a retry is due");
     actor.wal = Wal::open(&folder, 1_000_000).unwrap().0;
     actor.retry_queued_records(due);
@@ -396,9 +416,9 @@
     actor.wal = Wal::open(&folder, 0).unwrap().0;
     actor.log_or_queue(Some(Record::FinalStatus { number: 1, status: FinalStatus::Failed }));
     actor.wal = Wal::open(&folder, 1_000_000).unwrap().0;
-    let taken =
+    let message =
         AcceptedMessage { number: 2, deadline: now.plus(Micros(5_000_000)), ..AcceptedMessage::default() };
-    assert!(actor.log_now(&[Record::Accepted(taken)]));
+    assert!(actor.log_now(&[Record::Accepted(message)]));
     let records = Wal::open(&folder, 1_000_000).unwrap().1.records;
     assert!(
         matches!(
@@ -416,9 +436,9 @@
 fn a_queued_call_is_not_written_once_its_endpoint_is_in_maintenance() {
     let (folder, mut actor, now) = actor_with_message("maintenance");
     actor.ledger.decide(now, true, &mut Vec::new());
-    let change = |endpoint: &str, out| crate::maintenance::MaintenanceChange {
+    let change = |endpoint: &str, in_maintenance| crate::maintenance::MaintenanceChange {
         endpoint: endpoint.into(),
-        in_maintenance: out,
+        in_maintenance,
     };
     assert_eq!(actor.change_maintenance(now, change("nobody", true)), MaintenanceReply::UnknownEndpoint);
     assert_eq!(actor.change_maintenance(now, change("e", true)), MaintenanceReply::Done);
@@ -441,13 +461,13 @@
 fn an_operator_call_takes_effect_although_the_folder_fails() {
     let (folder, mut actor, now) = actor_with_message("maintenance-folder");
     // The replacement file cannot be written while a folder has its name.
-    let [file, next] = crate::maintenance::files(&folder);
-    std::fs::create_dir(&next).unwrap();
+    let [file, replacement] = crate::maintenance::files(&folder);
+    std::fs::create_dir(&replacement).unwrap();
     let change = crate::maintenance::MaintenanceChange { endpoint: "e".into(), in_maintenance: true };
     assert!(matches!(actor.change_maintenance(now, change), MaintenanceReply::NotPersisted(_)));
     actor.reload_maintenance(now);
     assert!(actor.directory.maintenance().contains("e"), "the change must hold although the file lacks it");
-    std::fs::remove_dir(&next).unwrap();
+    std::fs::remove_dir(&replacement).unwrap();
     actor.retry_maintenance(actor.maintenance_due().expect("a retry is due"));
     assert_eq!((actor.maintenance_due(), std::fs::read_to_string(file).unwrap().as_str()), (None, "e\n"));
     std::fs::remove_dir_all(&folder).unwrap();
@@ -458,17 +478,19 @@
 #[rstest]
 #[case::untried(false, FinalStatus::Returned(None))]
 #[case::may_have_run(true, FinalStatus::Failed)]
-fn a_process_that_shuts_down_reports_final_statuses_in_time(#[case] called: bool, #[case] end: FinalStatus) {
-    let (folder, mut actor, now) = actor_with_message(&format!("expiry-{called}"));
+fn a_process_that_shuts_down_reports_final_statuses_in_time(
+    #[case] call_sent: bool, #[case] status: FinalStatus,
+) {
+    let (folder, mut actor, now) = actor_with_message(&format!("expiry-{call_sent}"));
     actor.ledger.decide(now, true, &mut Vec::new());
-    if called {
+    if call_sent {
         assert!(actor.permit_call(now, permit_request(0, false)).is_ok());
     }
     actor.handle(CoreMessage::StopSending);
     let deadline = actor.ledger.get(1).expect("the message is open").accepted.deadline;
-    assert_eq!(actor.due(now), (!called).then_some(deadline), "a call in flight must be waited for");
-    let verdict = if called { Verdict::TimedOut } else { Verdict::HeldBack };
-    let (finished, limit, told) = (false, (None, None), Micros(0));
+    assert_eq!(actor.due(now), (!call_sent).then_some(deadline), "a call in flight must be waited for");
+    let verdict = if call_sent { Verdict::TimedOut } else { Verdict::HeldBack };
+    let (finished, load_report, wait_until) = (false, (None, None), Micros(0));
     let elapsed = Micros(1);
     actor.on_attempt_ended(
         now,
@@ -479,16 +501,16 @@
             verdict,
             elapsed,
             finished,
-            load_report: limit,
-            wait_until: told,
+            load_report,
+            wait_until,
         },
     );
     assert_eq!(actor.due(now), Some(deadline));
-    let mut steps = Vec::new();
-    actor.ledger.expire(Micros(deadline.0 - 1), &mut steps);
-    assert_eq!(steps, []);
-    actor.ledger.expire(deadline, &mut steps);
-    assert_eq!(steps, [LedgerAction::ReportFinalStatus { number: 1, status: end }]);
+    let mut actions = Vec::new();
+    actor.ledger.expire(Micros(deadline.0 - 1), &mut actions);
+    assert_eq!(actions, []);
+    actor.ledger.expire(deadline, &mut actions);
+    assert_eq!(actions, [LedgerAction::ReportFinalStatus { number: 1, status }]);
     assert_eq!(actor.due(now), None);
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/daemon/src/invariants.rs
+++ b/daemon/src/invariants.rs
@@ -51,6 +51,7 @@
     pub unanswered_request: Counter,
     /// A final status was reported more than 0.3 s after the message's deadline.
     pub late_status: Counter,
+    /// What each endpoint or its list has said.
     endpoint_facts: RefCell<BTreeMap<ReceiverId, EndpointFacts>>,
     /// Ids of messages that had expired when they were taken over from a process that is gone.
     expired_at_takeover: RefCell<BTreeSet<String>>,
--- a/daemon/src/invariants/tests.rs
+++ b/daemon/src/invariants/tests.rs
@@ -125,15 +125,15 @@
 /// expired.
 #[test]
 fn an_overdue_status_is_counted_in_the_process_that_left_it() {
-    let (next, left) = (Invariants::default(), Invariants::default());
-    let (late, up) = (START.plus(Micros(300_001)), Micros(60_000_000));
-    left.check_left_message(START.plus(Micros(300_000)), "m1", START);
-    assert_eq!(left.total(), 0);
-    left.check_left_message(late, "m1", START);
-    assert_eq!((left.late_status.get(), left.total()), (1, 1));
-    next.note_expired_at_takeover("m1");
-    next.check_report_time(late, "m1", START, up);
-    assert_eq!(next.total(), 0);
-    next.check_report_time(late, "m1", START, up);
-    assert_eq!(next.late_status.get(), 1, "another message");
+    let (next_process, leaving) = (Invariants::default(), Invariants::default());
+    let (late, uptime) = (START.plus(Micros(300_001)), Micros(60_000_000));
+    leaving.check_left_message(START.plus(Micros(300_000)), "m1", START);
+    assert_eq!(leaving.total(), 0);
+    leaving.check_left_message(late, "m1", START);
+    assert_eq!((leaving.late_status.get(), leaving.total()), (1, 1));
+    next_process.note_expired_at_takeover("m1");
+    next_process.check_report_time(late, "m1", START, uptime);
+    assert_eq!(next_process.total(), 0);
+    next_process.check_report_time(late, "m1", START, uptime);
+    assert_eq!(next_process.late_status.get(), 1, "another message");
 }
--- a/daemon/src/maintenance/tests.rs
+++ b/daemon/src/maintenance/tests.rs
@@ -9,12 +9,12 @@
     folder
 }
 
-fn change(endpoint: &str, out: bool) -> MaintenanceChange {
-    MaintenanceChange { endpoint: endpoint.into(), in_maintenance: out }
+fn change(endpoint: &str, in_maintenance: bool) -> MaintenanceChange {
+    MaintenanceChange { endpoint: endpoint.into(), in_maintenance }
 }
 
-fn names(all: &[&str]) -> BTreeSet<String> {
-    all.iter().map(|name| (*name).to_owned()).collect()
+fn names(endpoints: &[&str]) -> BTreeSet<String> {
+    endpoints.iter().map(|name| (*name).to_owned()).collect()
 }
 
 #[test]
@@ -39,14 +39,14 @@
 fn a_change_that_could_not_be_written_applies_and_stays_queued() {
     let folder = folder("waits");
     let mut file = MaintenanceFile::new(&folder);
-    let other = lock(&folder).unwrap();
+    let held_lock = lock(&folder).unwrap();
     assert!(file.apply(change("a", true)).is_err());
     assert!(file.apply(change("b", true)).is_err());
     assert!(file.apply(change("a", false)).is_err());
     assert!(file.has_unwritten());
     assert_eq!(file.load().unwrap(), names(&["b"]));
     assert_eq!(MaintenanceFile::new(&folder).load().unwrap(), names(&[]));
-    drop(other);
+    drop(held_lock);
     file.write().unwrap();
     assert!(!file.has_unwritten());
     assert_eq!(MaintenanceFile::new(&folder).load().unwrap(), names(&["b"]));
@@ -71,11 +71,11 @@
 
 #[test]
 fn the_file_size_is_limited() {
-    let mut all = BTreeSet::new();
+    let mut endpoints = BTreeSet::new();
     let name = |i: usize| format!("s-{i:08x}");
-    while MaintenanceFile::has_room(&all, &name(all.len())) {
-        all.insert(name(all.len()));
+    while MaintenanceFile::has_room(&endpoints, &name(endpoints.len())) {
+        endpoints.insert(name(endpoints.len()));
     }
-    assert!(all.len() > 1024, "{} endpoints fit", all.len());
-    assert!(all.iter().map(|n| n.len() + 1).sum::<usize>() <= MAX_FILE_BYTES);
+    assert!(endpoints.len() > 1024, "{} endpoints fit", endpoints.len());
+    assert!(endpoints.iter().map(|n| n.len() + 1).sum::<usize>() <= MAX_FILE_BYTES);
 }
--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -53,7 +53,7 @@
 /// How often reading the configuration is retried if the system cannot open the file at the moment of SIGHUP.
 /// All retries fit into the 1.2 s after which new settings are binding. A SIGTERM that arrives meanwhile has
 /// to wait for them; that leaves it `EXIT_AFTER_SIGTERM` and 0.4 s until the kill.
-const REREAD_TRIES: u32 = 8;
+const REREAD_RETRIES: u32 = 8;
 /// Interval between retries of reading the configuration.
 const REREAD_INTERVAL: Duration = Duration::from_millis(50);
 
@@ -64,6 +64,7 @@
     async_io::block_on(executor.run(serving))
 }
 
+/// Starts all actors, waits for signals, and shuts down.
 async fn serve(
     config: Config, product: ProductSettings, reread: Reread<'_>, executor: Rc<LocalExecutor<'static>>,
 ) -> Result<(), String> {
@@ -268,12 +269,12 @@
         claim.check_other().map_err(|e| format!("cannot lock the log in {}: {e}", claim.folder.display()))?;
     let sibling_running = matches!(sibling_state, OtherProcess::Running);
     if sibling_running {
-        let [waits, _] = claim.waits_files();
-        core.sibling = Some(SiblingLink::for_starting(now, waits));
+        let [waits_path, _] = claim.waits_files();
+        core.sibling = Some(SiblingLink::for_starting(now, waits_path));
         shared.taking_over.set(true);
     }
-    if let OtherProcess::Gone(orphaned) = sibling_state {
-        core.try_take_over_log(&orphaned);
+    if let OtherProcess::Gone(orphaned_log) = sibling_state {
+        core.try_take_over_log(&orphaned_log);
     } else {
         core.logged_keys.clear();
     }
@@ -427,7 +428,7 @@
 
 /// Reads the configuration, with retries while the system cannot open the file.
 async fn read_with_retries(reread: Reread<'_>) -> Result<(Config, ProductSettings), ReadError> {
-    for _ in 0..REREAD_TRIES {
+    for _ in 0..REREAD_RETRIES {
         match reread() {
             Err(ReadError::Unreadable(_)) => Timer::after(REREAD_INTERVAL).await,
             read => return read,
--- a/daemon/src/sibling.rs
+++ b/daemon/src/sibling.rs
@@ -41,7 +41,7 @@
             Timer::after(self.check_interval(upgrades_expected)).await;
             match self.claim.check_other() {
                 Ok(OtherProcess::Running) => self.on_running().await,
-                Ok(OtherProcess::Gone(orphaned)) => self.on_gone(orphaned).await,
+                Ok(OtherProcess::Gone(orphaned_log)) => self.on_gone(orphaned_log).await,
                 Err(e) => tracing::warn!("log: cannot check for another process, will be retried: {e}"),
             }
         }
@@ -88,7 +88,7 @@
 
     /// Handles the end of the sibling. If this process is shutting down as well, it leaves the sibling's log
     /// to the next process.
-    async fn on_gone(&mut self, orphaned: OrphanedLog) {
+    async fn on_gone(&mut self, orphaned_log: OrphanedLog) {
         // What the sibling wrote before it was killed still applies.
         self.forward_entries().await;
         if self.waits_reader.take().is_some() {
@@ -96,8 +96,8 @@
             let _ = remove_if_exists(&sibling_path);
             let _ = self.shared.core.send(CoreMessage::SiblingChanged(None)).await;
         }
-        if orphaned.exists() && !self.shared.stopping.get() {
-            let _ = self.shared.core.send(CoreMessage::TakeOverLog(orphaned)).await;
+        if orphaned_log.exists() && !self.shared.stopping.get() {
+            let _ = self.shared.core.send(CoreMessage::TakeOverLog(orphaned_log)).await;
         }
     }
 }
--- a/daemon/src/state_folder.rs
+++ b/daemon/src/state_folder.rs
@@ -138,13 +138,13 @@
     /// The folder cannot be used.
     pub fn check_other(&self) -> io::Result<OtherProcess> {
         let path = |name| self.folder.join(name);
-        let orphaned = |lock| OrphanedLog {
+        let orphaned_log = |lock| OrphanedLog {
             log: path(self.other_files.log),
             new: path(self.other_files.new),
             _lock: lock,
         };
         Ok(lock(&self.folder, self.other_files)?
-            .map_or(OtherProcess::Running, |lock| OtherProcess::Gone(orphaned(lock))))
+            .map_or(OtherProcess::Running, |lock| OtherProcess::Gone(orphaned_log(lock))))
     }
 
     /// The waits files of this process and of its sibling.
--- a/daemon/src/state_folder/tests.rs
+++ b/daemon/src/state_folder/tests.rs
@@ -15,17 +15,19 @@
     assert!(third.to_string().contains("two processes"), "{third}");
     std::fs::write(folder.join(PROCESS_FILES[0].log), b"noise").unwrap();
     drop(first);
-    let Ok(OtherProcess::Gone(orphaned)) = second.check_other() else { panic!("the first process is gone") };
-    assert!(orphaned.exists());
-    assert_eq!(orphaned.scan().unwrap().damaged_bytes, 5);
+    let Ok(OtherProcess::Gone(orphaned_log)) = second.check_other() else {
+        panic!("the first process is gone")
+    };
+    assert!(orphaned_log.exists());
+    assert_eq!(orphaned_log.scan().unwrap().damaged_bytes, 5);
     assert_eq!(
         lock(&folder, PROCESS_FILES[0]).unwrap().map(drop),
         None,
         "the orphaned log must stay locked while it is held"
     );
-    orphaned.remove().unwrap();
-    assert!(!orphaned.exists());
-    drop(orphaned);
+    orphaned_log.remove().unwrap();
+    assert!(!orphaned_log.exists());
+    drop(orphaned_log);
     assert_eq!(Claim::acquire(&folder).unwrap().files, PROCESS_FILES[0]);
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/daemon/src/wal/tests.rs
+++ b/daemon/src/wal/tests.rs
@@ -28,16 +28,17 @@
     }
 }
 
-fn put(wal: &mut Wal, owed: &mut BTreeMap<u64, OpenMessage>, record: &Record) -> bool {
-    if wal.append(std::slice::from_ref(record), || Box::new(owed.values())).is_err() {
+fn put(wal: &mut Wal, open_messages: &mut BTreeMap<u64, OpenMessage>, record: &Record) -> bool {
+    if wal.append(std::slice::from_ref(record), || Box::new(open_messages.values())).is_err() {
         return false;
     }
     match record {
-        Record::Accepted(t) => {
-            drop(owed.insert(t.number, OpenMessage { accepted: t.clone(), ..OpenMessage::default() }))
-        }
-        other if owed.get_mut(&other.number()).is_some_and(|o| !o.apply(other)) => {
-            drop(owed.remove(&other.number()))
+        Record::Accepted(message) => drop(
+            open_messages
+                .insert(message.number, OpenMessage { accepted: message.clone(), ..OpenMessage::default() }),
+        ),
+        other if open_messages.get_mut(&other.number()).is_some_and(|o| !o.apply(other)) => {
+            drop(open_messages.remove(&other.number()))
         }
         _ => {}
     }
@@ -49,17 +50,17 @@
     const BOUND: u64 = 500_000;
     let folder = Folder::new("life");
     let (mut wal, _) = Wal::open(&folder.0, BOUND).unwrap();
-    let (mut owed, mut refused) = (BTreeMap::new(), 0);
+    let (mut open_messages, mut refused) = (BTreeMap::new(), 0);
     for n in 1..4000u64 {
         let body = vec![n as u8; if n % 50 == 0 { 60_000 } else { 300 }];
-        let taken = AcceptedMessage {
+        let accepted = AcceptedMessage {
             number: n,
             request_id: format!("{n}"),
             deadline: Micros(n),
             body,
             ..AcceptedMessage::default()
         };
-        if !put(&mut wal, &mut owed, &Record::Accepted(taken)) {
+        if !put(&mut wal, &mut open_messages, &Record::Accepted(accepted)) {
             refused += 1;
             continue;
         }
@@ -68,33 +69,33 @@
         // message's outcome.
         assert!(put(
             &mut wal,
-            &mut owed,
+            &mut open_messages,
             &Record::Attempt { number: n, attempt: 0, endpoint: "e".into(), zone: "z".into(), at }
         ));
         assert!(put(
             &mut wal,
-            &mut owed,
+            &mut open_messages,
             &Record::Outcome { number: n, attempt: 0, status: AttemptStatus::MayHaveRun }
         ));
         if n > 200 {
-            assert!(put(&mut wal, &mut owed, &Record::Closed(n - 200)));
+            assert!(put(&mut wal, &mut open_messages, &Record::Closed(n - 200)));
         }
         assert!(folder.used() <= BOUND);
     }
     assert!(refused > 0 && wal.compactions > 0, "{refused} refused, {} rewritten", wal.compactions);
     let (_, scan) = Wal::open(&folder.0, BOUND).unwrap();
-    assert_eq!((scan.damaged_bytes, recover(scan.records)), (0, owed));
+    assert_eq!((scan.damaged_bytes, recover(scan.records)), (0, open_messages));
 }
 
 #[test]
 fn a_rewrite_interrupted_by_a_crash_changes_nothing() {
     let folder = Folder::new("cut");
     let (mut wal, _) = Wal::open(&folder.0, 1_000_000).unwrap();
-    let taken = Record::Accepted(AcceptedMessage { number: 7, ..AcceptedMessage::default() });
-    assert!(put(&mut wal, &mut BTreeMap::new(), &taken));
+    let accepted = Record::Accepted(AcceptedMessage { number: 7, ..AcceptedMessage::default() });
+    assert!(put(&mut wal, &mut BTreeMap::new(), &accepted));
     std::fs::write(folder.0.join(PROCESS_FILES[0].new), b"half of a rec").unwrap();
     let (mut wal, scan) = Wal::open(&folder.0, 1_000_000).unwrap();
-    assert_eq!(scan.records, [taken]);
+    assert_eq!(scan.records, [accepted]);
     wal.compact(recover(scan.records).values()).unwrap();
     assert_eq!(recover(Wal::open(&folder.0, 1_000_000).unwrap().1.records).len(), 1);
 }
@@ -109,21 +110,21 @@
     let sealed = memfd_create("log", MemfdFlags::ALLOW_SEALING).unwrap();
     fcntl_add_seals(&sealed, SealFlags::SHRINK).unwrap();
     wal.file = File::from(sealed);
-    let mut owed = BTreeMap::new();
-    let taken = |n: u64| {
+    let mut open_messages = BTreeMap::new();
+    let accepted = |n: u64| {
         Record::Accepted(AcceptedMessage { number: n, deadline: Micros(n), ..AcceptedMessage::default() })
     };
-    assert!(put(&mut wal, &mut owed, &taken(1)));
-    let mut half = Vec::new();
-    taken(2).write(&mut half);
-    half.truncate(half.len() / 2);
-    wal.file.write_all(&half).unwrap();
-    wal.truncate_failed_write(half.len() as u64 * 2);
-    assert!(put(&mut wal, &mut owed, &taken(3)));
+    assert!(put(&mut wal, &mut open_messages, &accepted(1)));
+    let mut partial = Vec::new();
+    accepted(2).write(&mut partial);
+    partial.truncate(partial.len() / 2);
+    wal.file.write_all(&partial).unwrap();
+    wal.truncate_failed_write(partial.len() as u64 * 2);
+    assert!(put(&mut wal, &mut open_messages, &accepted(3)));
     let length = wal.file.metadata().unwrap().len();
     assert_eq!(wal.size(), length, "a later truncation must keep what has been written since");
     let mut bytes = vec![0; length as usize];
     wal.file.read_exact_at(&mut bytes, 0).unwrap();
     let scan = scan_log(&bytes);
-    assert_eq!((scan.records, scan.damaged_bytes), (vec![taken(1), taken(3)], half.len()));
+    assert_eq!((scan.records, scan.damaged_bytes), (vec![accepted(1), accepted(3)], partial.len()));
 }
