--- a/daemon/src/invariants/tests.rs
+++ b/daemon/src/invariants/tests.rs
@@ -4,15 +4,15 @@
 use onyxrock::interface::{DestinationId, KindId, ZoneId};
 use rstest::rstest;
 
-const TO: ReceiverId = ReceiverId(7);
+const RECEIVER: ReceiverId = ReceiverId(7);
 const START: Micros = Micros(1_000_000_000);
 const PERMIT: Permit = Permit { epoch: 0, valid_until: Micros(u64::MAX), repeat: false, logged: true };
 
-fn call(harmful: bool) -> OutboundCall {
+fn call(unsafe_to_repeat: bool) -> OutboundCall {
     OutboundCall {
         number: 1,
         attempt: 0,
-        receiver: TO,
+        receiver: RECEIVER,
         endpoint: "e1".into(),
         id: "m1".into(),
         idempotency_key: String::new(),
@@ -20,15 +20,15 @@
         body: Vec::new(),
         started: START,
         timeout: Micros(1_000_000),
-        unsafe_to_repeat: harmful,
+        unsafe_to_repeat,
         probe_path: None,
         cancellation: None,
     }
 }
 
-fn entry_in_state(listing: EntryState) -> ListEntry {
+fn entry_in_state(state: EntryState) -> ListEntry {
     let (destination, kind, zone) = (DestinationId(1), KindId(0), ZoneId(0));
-    ListEntry { receiver: TO, state: listing, destination, kind, zone, weight: 1.0 }
+    ListEntry { receiver: RECEIVER, state, destination, kind, zone, weight: 1.0 }
 }
 
 #[rstest]
@@ -37,12 +37,12 @@
 #[case::gone(EntryState::Gone, 2_000_000, 1)]
 #[case::ready(EntryState::Ready, 9_000_000, 0)]
 fn a_call_after_the_drain_grace_is_counted(
-    #[case] listing: EntryState, #[case] after: u64, #[case] violations: u64,
+    #[case] state: EntryState, #[case] after: u64, #[case] violations: u64,
 ) {
     let invariants = Invariants::default();
-    invariants.note_entry(START, &entry_in_state(listing));
+    invariants.note_entry(START, &entry_in_state(state));
     // A repeated report must not restart the grace.
-    invariants.note_entry(START.plus(Micros(500_000)), &entry_in_state(listing));
+    invariants.note_entry(START.plus(Micros(500_000)), &entry_in_state(state));
     invariants.check_send(START.plus(Micros(after)), &call(false), &PERMIT);
     assert_eq!((invariants.call_after_drain.get(), invariants.total()), (violations, violations));
 }
@@ -81,8 +81,8 @@
 #[case::after_it(800_000, 0)]
 fn a_call_during_a_retry_after_is_counted(#[case] after: u64, #[case] violations: u64) {
     let invariants = Invariants::default();
-    invariants.note_retry_after(START, TO, START.plus(Micros(800_000)));
-    invariants.note_retry_after(START, TO, START.plus(Micros(300_000)));
+    invariants.note_retry_after(START, RECEIVER, START.plus(Micros(800_000)));
+    invariants.note_retry_after(START, RECEIVER, START.plus(Micros(300_000)));
     invariants.check_send(START.plus(Micros(after)), &call(false), &PERMIT);
     assert_eq!((invariants.call_in_retry_after.get(), invariants.total()), (violations, violations));
 }
--- a/daemon/src/shared_waits/tests.rs
+++ b/daemon/src/shared_waits/tests.rs
@@ -7,8 +7,8 @@
     std::env::temp_dir().join(format!("onyxrock-waits-{name}-{}", std::process::id()))
 }
 
-fn wait(clock: &Clock, endpoint: &str, left_ms: u64) -> SharedRetryAfter {
-    SharedRetryAfter { endpoint: endpoint.into(), until: clock.now().plus(Micros(left_ms * 1000)) }
+fn wait(clock: &Clock, endpoint: &str, ms_left: u64) -> SharedRetryAfter {
+    SharedRetryAfter { endpoint: endpoint.into(), until: clock.now().plus(Micros(ms_left * 1000)) }
 }
 
 fn names(entries: &[SiblingEntry]) -> Vec<&str> {
@@ -50,11 +50,11 @@
     let mut reader = WaitsFileReader::new(path.clone());
     writer.write_snapshot(&clock, &[], &[]).unwrap();
     let mut file = OpenOptions::new().append(true).open(&path).unwrap();
-    let whole = retry_after_line(&clock, &wait(&clock, "a", 900));
+    let line = retry_after_line(&clock, &wait(&clock, "a", 900));
     file.write_all(b"noise\n\xff \n").unwrap();
-    file.write_all(&whole.as_bytes()[..5]).unwrap();
+    file.write_all(&line.as_bytes()[..5]).unwrap();
     assert_eq!(names(&reader.read(&clock).unwrap()), ["."]);
-    file.write_all(&whole.as_bytes()[5..]).unwrap();
+    file.write_all(&line.as_bytes()[5..]).unwrap();
     assert_eq!(names(&reader.read(&clock).unwrap()), ["a"]);
 }
 
--- a/daemon/src/wal/tests.rs
+++ b/daemon/src/wal/tests.rs
@@ -65,8 +65,8 @@
             continue;
         }
         let at = Micros(n);
-        // The later records of each accepted message must fit: a forwarder that cannot log them loses the
-        // message's outcome.
+        // The later records of each accepted message must fit: a run in which they cannot be logged is
+        // lost.
         assert!(put(
             &mut wal,
             &mut open_messages,
