--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -71,10 +71,10 @@
         }
         "check" => {
             let (config, product) = read()?;
-            let (classes, known) =
+            let (classes, cached) =
                 (config.settings.classes.len(), config.cached_list.as_ref().map_or(0, |k| k.entries.len()));
             println!(
-                "{}: listens on {}, {classes} classes, {known} endpoints known",
+                "{}: listens on {}, {classes} classes, {cached} endpoints known",
                 config.name, config.listen
             );
             onyxrock_config::settings::describe(&config.settings, &config.names)
