--- a/daemon/src/maintenance/tests.rs
+++ b/daemon/src/maintenance/tests.rs
@@ -1,4 +1,4 @@
-//! The file that says what operators have taken out.
+//! The file of endpoints in maintenance.
 
 use super::*;
 
@@ -9,59 +9,60 @@
     folder
 }
 
-fn change(endpoint: &str, out: bool) -> MaintenanceChange {
-    MaintenanceChange { endpoint: endpoint.into(), in_maintenance: out }
+fn change(endpoint: &str, in_maintenance: bool) -> MaintenanceChange {
+    MaintenanceChange { endpoint: endpoint.into(), in_maintenance }
 }
 
-fn names(all: &[&str]) -> BTreeSet<String> {
-    all.iter().map(|name| (*name).to_owned()).collect()
+fn names(endpoints: &[&str]) -> BTreeSet<String> {
+    endpoints.iter().map(|name| (*name).to_owned()).collect()
 }
 
 #[test]
-fn two_processes_that_are_called_in_turn_lose_neither_change() {
+fn changes_at_two_processes_in_turn_are_both_kept() {
     let folder = folder("two");
-    let (mut first, mut second) = (MaintenanceFile::of(&folder), MaintenanceFile::of(&folder));
+    let (mut first, mut second) = (MaintenanceFile::new(&folder), MaintenanceFile::new(&folder));
     assert_eq!(first.load().unwrap(), names(&[]), "there is no file yet");
-    first.change(change("a", true)).unwrap();
-    second.change(change("b", true)).unwrap();
-    first.change(change("c", true)).unwrap();
-    second.change(change("a", false)).unwrap();
-    second.change(change("a", false)).unwrap();
-    for file in [&first, &second, &MaintenanceFile::of(&folder)] {
+    first.apply(change("a", true)).unwrap();
+    second.apply(change("b", true)).unwrap();
+    first.apply(change("c", true)).unwrap();
+    second.apply(change("a", false)).unwrap();
+    second.apply(change("a", false)).unwrap();
+    for file in [&first, &second, &MaintenanceFile::new(&folder)] {
         assert_eq!(file.load().unwrap(), names(&["b", "c"]));
     }
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// Another process is writing just now, or the folder takes nothing: the change holds here and is written later, in order.
+/// Another process may be writing the file, or the folder may fail. A change must apply all the same, and be
+/// written later, in order.
 #[test]
-fn what_could_not_be_written_waits_and_holds() {
+fn a_change_that_could_not_be_written_applies_and_stays_queued() {
     let folder = folder("waits");
-    let mut file = MaintenanceFile::of(&folder);
-    let other = lock(&folder).unwrap();
-    assert!(file.change(change("a", true)).is_err());
-    assert!(file.change(change("b", true)).is_err());
-    assert!(file.change(change("a", false)).is_err());
-    assert!(file.waits());
+    let mut file = MaintenanceFile::new(&folder);
+    let held_lock = lock(&folder).unwrap();
+    assert!(file.apply(change("a", true)).is_err());
+    assert!(file.apply(change("b", true)).is_err());
+    assert!(file.apply(change("a", false)).is_err());
+    assert!(file.has_unwritten());
     assert_eq!(file.load().unwrap(), names(&["b"]));
-    assert_eq!(MaintenanceFile::of(&folder).load().unwrap(), names(&[]));
-    drop(other);
+    assert_eq!(MaintenanceFile::new(&folder).load().unwrap(), names(&[]));
+    drop(held_lock);
     file.write().unwrap();
-    assert!(!file.waits());
-    assert_eq!(MaintenanceFile::of(&folder).load().unwrap(), names(&["b"]));
+    assert!(!file.has_unwritten());
+    assert_eq!(MaintenanceFile::new(&folder).load().unwrap(), names(&["b"]));
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
 #[test]
-fn half_of_a_next_file_says_nothing_and_noise_is_no_panic() {
+fn an_incomplete_replacement_is_ignored_and_invalid_content_causes_no_panic() {
     let folder = folder("noise");
-    let mut file = MaintenanceFile::of(&folder);
-    file.change(change("a", true)).unwrap();
+    let mut file = MaintenanceFile::new(&folder);
+    file.apply(change("a", true)).unwrap();
     std::fs::write(&files(&folder)[1], "b\nc").unwrap();
     assert_eq!(file.load().unwrap(), names(&["a"]));
     std::fs::write(&files(&folder)[0], b"a\n\n\xff\xfe\n").unwrap();
     assert!(file.load().unwrap().contains("a"));
-    // A folder in its place cannot be read: a start waits for it.
+    // A directory in place of the file cannot be read, so a start has to wait.
     std::fs::remove_file(&files(&folder)[0]).unwrap();
     std::fs::create_dir(&files(&folder)[0]).unwrap();
     assert!(file.load().is_err());
@@ -69,12 +70,12 @@
 }
 
 #[test]
-fn the_file_is_bounded() {
-    let mut all = BTreeSet::new();
+fn the_file_size_is_limited() {
+    let mut endpoints = BTreeSet::new();
     let name = |i: usize| format!("s-{i:08x}");
-    while MaintenanceFile::has_room(&all, &name(all.len())) {
-        all.insert(name(all.len()));
+    while MaintenanceFile::has_room(&endpoints, &name(endpoints.len())) {
+        endpoints.insert(name(endpoints.len()));
     }
-    assert!(all.len() > 1024, "{} endpoints fit", all.len());
-    assert!(all.iter().map(|n| n.len() + 1).sum::<usize>() <= BYTES_MOST);
+    assert!(endpoints.len() > 1024, "{} endpoints fit", endpoints.len());
+    assert!(endpoints.iter().map(|n| n.len() + 1).sum::<usize>() <= MAX_FILE_BYTES);
 }
--- a/daemon/src/state_folder/tests.rs
+++ b/daemon/src/state_folder/tests.rs
@@ -1,27 +1,33 @@
-//! Places in the folder that lasts.
+//! Claims of processes to the state folder.
 
 use super::*;
 
 #[test]
-fn two_have_a_place_each_and_a_third_has_none() {
+fn two_processes_claim_different_files_and_a_third_is_refused() {
     let folder = std::env::temp_dir().join(format!("onyxrock-folder-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let first = Claim::take(&folder).unwrap();
-    assert!(matches!(first.other(), Ok(Other::Free(_))));
-    let second = Claim::take(&folder).unwrap();
-    assert_eq!((first.place, second.place), (PLACES[0], PLACES[1]));
-    assert!(matches!(first.other(), Ok(Other::Held)));
-    let third = Claim::take(&folder).unwrap_err();
+    let first = Claim::acquire(&folder).unwrap();
+    assert!(matches!(first.check_other(), Ok(OtherProcess::Gone(_))));
+    let second = Claim::acquire(&folder).unwrap();
+    assert_eq!((first.files, second.files), (PROCESS_FILES[0], PROCESS_FILES[1]));
+    assert!(matches!(first.check_other(), Ok(OtherProcess::Running)));
+    let third = Claim::acquire(&folder).unwrap_err();
     assert!(third.to_string().contains("two processes"), "{third}");
-    std::fs::write(folder.join(PLACES[0].log), b"noise").unwrap();
+    std::fs::write(folder.join(PROCESS_FILES[0].log), b"noise").unwrap();
     drop(first);
-    let Ok(Other::Free(left)) = second.other() else { panic!("its process is gone") };
-    assert!(left.is_there());
-    assert_eq!(left.scan().unwrap().damaged_bytes, 5);
-    assert_eq!(lock(&folder, PLACES[0]).unwrap().map(drop), None, "it is nobody's while it is looked at");
-    left.clear().unwrap();
-    assert!(!left.is_there());
-    drop(left);
-    assert_eq!(Claim::take(&folder).unwrap().place, PLACES[0]);
+    let Ok(OtherProcess::Gone(orphaned_log)) = second.check_other() else {
+        panic!("the first process is gone")
+    };
+    assert!(orphaned_log.exists());
+    assert_eq!(orphaned_log.scan().unwrap().damaged_bytes, 5);
+    assert_eq!(
+        lock(&folder, PROCESS_FILES[0]).unwrap().map(drop),
+        None,
+        "the orphaned log must stay locked while it is held"
+    );
+    orphaned_log.remove().unwrap();
+    assert!(!orphaned_log.exists());
+    drop(orphaned_log);
+    assert_eq!(Claim::acquire(&folder).unwrap().files, PROCESS_FILES[0]);
     std::fs::remove_dir_all(&folder).unwrap();
 }
