--- a/daemon/src/core_actor/calls.rs
+++ b/daemon/src/core_actor/calls.rs
@@ -31,7 +31,7 @@
             attempt,
             receiver,
             endpoint: self.endpoint_name(receiver),
-            id: message.request_id.clone(),
+            request_id: message.request_id.clone(),
             idempotency_key: message.idempotency_key.clone(),
             frontend_note: message.frontend_note.clone(),
             body: message.body.clone(),
@@ -54,7 +54,7 @@
             attempt: 0,
             receiver,
             endpoint: self.endpoint_name(receiver),
-            id: String::new(),
+            request_id: String::new(),
             idempotency_key: String::new(),
             frontend_note: String::new(),
             body: Vec::new(),
@@ -96,7 +96,7 @@
         );
         let notice = StatusNotice {
             number,
-            id: message.request_id.clone(),
+            request_id: message.request_id.clone(),
             frontend_note: message.frontend_note.clone(),
             deadline: message.deadline,
             status,
--- a/daemon/src/core_actor/messages.rs
+++ b/daemon/src/core_actor/messages.rs
@@ -125,7 +125,7 @@
     /// The number of the message.
     pub number: u64,
     /// The request id under which its client submitted it.
-    pub id: String,
+    pub request_id: String,
     /// What its frontend noted for itself.
     pub frontend_note: String,
     /// The deadline of the message.
--- a/daemon/src/invariants.rs
+++ b/daemon/src/invariants.rs
@@ -186,7 +186,12 @@
 /// Counts and logs a violation.
 fn violated(counter: &Counter, call: &OutboundCall, description: &str) {
     counter.increment();
-    tracing::error!(id = call.id, attempt = call.attempt, to = call.receiver.0, "violation: {description}");
+    tracing::error!(
+        id = call.request_id,
+        attempt = call.attempt,
+        to = call.receiver.0,
+        "violation: {description}"
+    );
 }
 
 /// A request that was read and needs an answer. Dropping this unresolved counts as a violation.
--- a/daemon/src/invariants/tests.rs
+++ b/daemon/src/invariants/tests.rs
@@ -14,7 +14,7 @@
         attempt: 0,
         receiver: RECEIVER,
         endpoint: "e1".into(),
-        id: "m1".into(),
+        request_id: "m1".into(),
         idempotency_key: String::new(),
         frontend_note: String::new(),
         body: Vec::new(),
--- a/daemon/src/list/fetch.rs
+++ b/daemon/src/list/fetch.rs
@@ -111,7 +111,7 @@
 
     /// Reads the body in parts; also returns whether the connection can carry another call.
     async fn read(&self, conn: &mut Conn, response: &Response) -> Result<(FetchedList, bool), FetchError> {
-        let limits = &self.discovery.bounds;
+        let limits = &self.discovery.limits;
         let (most, memory_mb) = (limits.entries.0 as usize, limits.memory_mb.0);
         let mut entries = StagedList::new(most, memory_mb as usize * 1_000_000);
         let mut reader = ListReader::new(&self.discovery.names);
--- a/daemon/src/list/mod.rs
+++ b/daemon/src/list/mod.rs
@@ -46,7 +46,7 @@
     /// list.
     pub lists_pushed: bool,
     /// Limits of a list.
-    pub bounds: ListLimits,
+    pub limits: ListLimits,
 }
 
 /// One part of a list that is too long for a single message to the core.
--- a/daemon/src/list/tests.rs
+++ b/daemon/src/list/tests.rs
@@ -29,7 +29,7 @@
 fn params_without_list() -> DiscoveryParams {
     let (names, bounds) = (NameIndex::default(), onyxrock_config::idle::ListLimits::default());
     let (large_fleet, lists_pushed, watch_wait) = (false, false, Micros(10_000));
-    DiscoveryParams { names, generation: None, watch_wait, large_fleet, lists_pushed, bounds }
+    DiscoveryParams { names, generation: None, watch_wait, large_fleet, lists_pushed, limits: bounds }
 }
 
 impl Harness {
--- a/daemon/src/net/http/endpoint.rs
+++ b/daemon/src/net/http/endpoint.rs
@@ -332,7 +332,8 @@
         // that was suspended and has lost its lease.
         return format!("GET {path} HTTP/1.1\r\nHost: {address}\r\nX-Epoch: {epoch}\r\n\r\n").into_bytes();
     }
-    let mut head = format!("POST /inbox HTTP/1.1\r\nHost: {address}\r\nX-Request-Id: {}\r\n", call.id);
+    let mut head =
+        format!("POST /inbox HTTP/1.1\r\nHost: {address}\r\nX-Request-Id: {}\r\n", call.request_id);
     if !call.idempotency_key.is_empty() {
         let _ = write!(head, "Idempotency-Key: {}\r\n", call.idempotency_key);
     }
--- a/daemon/src/net/http/endpoint/tests.rs
+++ b/daemon/src/net/http/endpoint/tests.rs
@@ -32,7 +32,7 @@
             number: 1,
             attempt: 0,
             receiver: ReceiverId(7),
-            id: id.into(),
+            request_id: id.into(),
             idempotency_key: String::new(),
             frontend_note: String::new(),
             body: vec![b'x'; body],
--- a/daemon/src/net/mod.rs
+++ b/daemon/src/net/mod.rs
@@ -153,7 +153,7 @@
     pub receiver: ReceiverId,
     /// The name of the endpoint.
     pub endpoint: String,
-    pub id: String,
+    pub request_id: String,
     pub idempotency_key: String,
     /// Data that the message's frontend recorded for its own use.
     pub frontend_note: String,
--- a/daemon/src/net/smpp/inbound.rs
+++ b/daemon/src/net/smpp/inbound.rs
@@ -32,7 +32,7 @@
     pub shared: Rc<SharedState>,
     pub smpp: SmppSettings,
     /// Longest lifetime of a message of each class.
-    pub give_up: BTreeMap<String, Micros>,
+    pub give_up_after: BTreeMap<String, Micros>,
     /// Mailbox of the receipts' actor.
     pub receipts: Sender<ToReceipts>,
 }
@@ -319,7 +319,7 @@
 
     /// The message of a submit_sm PDU, or the status that refuses it.
     fn accepted_message(&self, system_id: &str, sm: &SubmitSm) -> Result<AcceptedMessage, CommandStatus> {
-        let Frontend { shared, smpp, give_up, .. } = self.frontend;
+        let Frontend { shared, smpp, give_up_after: give_up, .. } = self.frontend;
         let now = shared.clock.now();
         let service = c_octet_text(sm.service_type.value());
         let class = smpp.class_for(service).ok_or(CommandStatus::EsmeRinvsertyp)?;
--- a/daemon/src/net/smpp/receipts.rs
+++ b/daemon/src/net/smpp/receipts.rs
@@ -90,7 +90,7 @@
             pending.iter().filter(|(_, entry)| is_expired(entry)).map(|(number, _)| *number).collect();
         for number in expired {
             tracing::warn!(
-                request = %pending[&number].0.id,
+                request = %pending[&number].0.request_id,
                 "smpp: receipt not acknowledged in time, dropped"
             );
             pending.remove(&number);
@@ -116,7 +116,7 @@
     let at = time::receipt_time(now);
     let text = format!(
         "id:{} sub:001 dlvrd:{delivered:03} submit date:{at} done date:{at} stat:{stat} err:000 text:{hint}",
-        notice.id
+        notice.request_id
     );
     let mut sm = DeliverSm::default();
     sm.source_addr = c_octet_string(&message_note.destination);
@@ -124,7 +124,7 @@
     sm.esm_class = EsmClass::from(0x04);
     sm.data_coding = DataCoding::from(0);
     sm.set_short_message(OctetString::from_vec(text.into_bytes()).unwrap_or_default());
-    sm.push_tlv(Tlv::ReceiptedMessageId(c_octet_string(&notice.id)));
+    sm.push_tlv(Tlv::ReceiptedMessageId(c_octet_string(&notice.request_id)));
     sm.push_tlv(Tlv::MessageState(state));
     sm.into()
 }
--- a/daemon/src/notices.rs
+++ b/daemon/src/notices.rs
@@ -46,7 +46,12 @@
         for notice in batch {
             shared.counters.notices_sent.increment();
             let now = shared.clock.now();
-            shared.invariants.check_report_time(now, &notice.id, notice.deadline, shared.clock.uptime());
+            shared.invariants.check_report_time(
+                now,
+                &notice.request_id,
+                notice.deadline,
+                shared.clock.uptime(),
+            );
             if shared.core.send(CoreMessage::NoticeDelivered(notice.number)).await.is_err() {
                 return;
             }
@@ -128,10 +133,10 @@
 fn notice_json(notice: &StatusNotice) -> String {
     match notice.status {
         FinalStatus::Returned(Some(retry_after)) => {
-            json!({"id": notice.id, "state": "returned", "after_ms": retry_after.0.div_ceil(1000)})
+            json!({"id": notice.request_id, "state": "returned", "after_ms": retry_after.0.div_ceil(1000)})
         }
-        FinalStatus::Returned(None) => json!({"id": notice.id, "state": "returned"}),
-        FinalStatus::Failed | FinalStatus::Delivered => json!({"id": notice.id, "state": "failed"}),
+        FinalStatus::Returned(None) => json!({"id": notice.request_id, "state": "returned"}),
+        FinalStatus::Failed | FinalStatus::Delivered => json!({"id": notice.request_id, "state": "failed"}),
     }
     .to_string()
 }
--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -289,7 +289,7 @@
         generation: known_generation,
         large_fleet: !two_calls_fit,
         lists_pushed: config.lists_pushed,
-        bounds,
+        limits: bounds,
         watch_wait: watch_wait.clamp(Micros(1_000_000), list::MAX_WATCH_WAIT),
     };
     if let Some(dns) = zone {
@@ -329,7 +329,7 @@
         let frontend = Rc::new(smpp::inbound::Frontend {
             shared: shared.clone(),
             smpp,
-            give_up: give_up_after,
+            give_up_after: give_up_after,
             receipts,
         });
         executor.spawn(smpp::inbound::listen(frontend, listener, accepting_ended)).detach();
