--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -329,7 +329,7 @@
         let frontend = Rc::new(smpp::inbound::Frontend {
             shared: shared.clone(),
             smpp,
-            give_up_after: give_up_after,
+            give_up_after,
             receipts,
         });
         executor.spawn(smpp::inbound::listen(frontend, listener, accepting_ended)).detach();
