--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,11 +1,11 @@
-//! Each of the six rules, with a test that fails when its guard is taken out.
+//! The six rules of the policy. Each test fails if the code of its rule is removed.
 
 mod common;
 use common::*;
 use onyxrock::interface::*;
 
 #[test]
-fn held_message_is_answered_before_its_deadline() {
+fn held_message_is_refused_before_its_deadline() {
     let mut harness = Harness::new(settings(), vec![]);
     harness.submit_with(1, UNSAFE, 9, None, ms(2000));
     harness.advance(ms(1900));
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn patience_never_outlasts_the_message() {
+fn call_timeout_does_not_exceed_the_deadline() {
     let mut harness = Harness::new(settings(), vec![entry(1, 1, 0, 0)]);
     harness.submit_with(1, UNSAFE, 1, None, ms(700));
     assert_eq!(harness.sent[0].timeout, ms(700));
@@ -41,10 +41,11 @@
     }
 }
 
-/// Connections that something between forgets break in rows: taken for an outage, that cost a fifth of a
-/// day's worth.
+/// Guards against an outage being assumed when several idle connections in a row turn out to be stale,
+/// because something between sender and receiver dropped them. Taken for an outage, they cost a fifth of the
+/// value of a day.
 #[test]
-fn stale_connections_do_not_make_a_receiver_sick() {
+fn stale_connections_do_not_make_a_receiver_unhealthy() {
     let sent = |verdict| {
         let mut harness = Harness::new(settings(), vec![entry(1, 1, 0, 0)]);
         for id in 1..=6 {
@@ -55,18 +56,19 @@
         }
         (1..=6).map(|id| harness.attempts_of(id)).sum::<usize>()
     };
-    assert_eq!(sent(Verdict::Stale), 12, "each goes again at once");
+    assert_eq!(sent(Verdict::Stale), 12, "each message is sent again at once");
 }
 
-/// On a day on which calls break everywhere, three in a row somewhere come by chance: taken for outages, with
-/// the cold ramp after each, they cost more than the breaks.
+/// Guards against outages being assumed on a day on which calls are reset everywhere. Three resets in a row
+/// at a receiver then happen by chance; taken for outages, with a slow start after each, they cost more than
+/// the resets.
 #[test]
-fn where_calls_break_everywhere_a_short_run_of_breaks_is_no_outage() {
-    let sent = |breaks_everywhere: bool| {
+fn short_run_of_resets_is_no_outage_where_calls_are_reset_everywhere() {
+    let sent = |resets_everywhere: bool| {
         let mut harness = Harness::new(settings(), (1..=10).map(|r| entry(r, r, 0, 0)).collect());
         for id in 1..=300 {
             harness.submit(id, SAFE, id % 10 + 1);
-            if breaks_everywhere && id > 100 && id % 3 == 0 {
+            if resets_everywhere && id > 100 && id % 3 == 0 {
                 harness.end_attempt(id, Verdict::Reset);
             }
             harness.end_attempt(id, Verdict::Delivered);
@@ -79,17 +81,17 @@
     assert_eq!((sent(false), sent(true)), (3, 4));
 }
 
-/// One connection that falls silent held its endpoint at the few calls of a slow one until that call timed
-/// out.
+/// Guards against one silent connection that limits its receiver to the few calls of a slow receiver until
+/// the call times out.
 #[test]
-fn one_call_that_hangs_while_others_are_answered_takes_no_room() {
-    let sent = |answered: bool| {
+fn one_hanging_call_does_not_limit_a_receiver_that_serves_others() {
+    let sent = |others_are_served: bool| {
         let mut harness = Harness::new(settings(), vec![entry(1, 1, 0, 0)]);
         harness.warm_up(1000, 50, 1);
         harness.submit(1, SAFE, 1);
         for id in 2..=4 {
             harness.advance(ms(80));
-            if answered {
+            if others_are_served {
                 harness.submit(id, SAFE, 1);
                 harness.advance(ms(10));
                 harness.end_attempt(id, Verdict::Delivered);
@@ -102,15 +104,15 @@
     assert!(sent(true) > sent(false) + 1, "{} {}", sent(true), sent(false));
 }
 
-/// On a long day most receivers of a destination have come and gone. What they were must not slow those that
-/// are here.
+/// Guards against state of removed receivers that slows the remaining ones: over a long day most receivers of
+/// a destination are removed.
 #[test]
-fn receivers_that_are_gone_do_not_slow_those_that_are_here() {
-    let sent = |gone: u64| {
+fn removed_receivers_do_not_slow_the_remaining_ones() {
+    let sent = |removed: u64| {
         let mut harness = Harness::new(settings(), vec![entry(1, 1, 0, 0)]);
-        for listing in [EntryState::Ready, EntryState::Gone] {
-            let past = (100..100 + gone).map(|r| ListEntry { state: listing, ..entry(r, 1, 0, 0) }).collect();
-            harness.handle_event(Event::ListChanges(past));
+        for state in [EntryState::Ready, EntryState::Gone] {
+            let former = (100..100 + removed).map(|r| ListEntry { state, ..entry(r, 1, 0, 0) }).collect();
+            harness.handle_event(Event::ListChanges(former));
         }
         harness.warm_up(1000, 50, 1);
         harness.submit(1, SAFE, 1);
@@ -128,7 +130,7 @@
 }
 
 #[test]
-fn unsafe_message_that_never_ran_goes_again() {
+fn unsafe_message_that_never_ran_is_sent_again() {
     for verdict in [Verdict::Full(None), Verdict::ConnectFailed, Verdict::Moot] {
         let mut harness = Harness::new(settings(), vec![entry(1, 1, 0, 0)]);
         harness.submit(1, UNSAFE, 1);
@@ -160,11 +162,11 @@
 }
 
 #[test]
-fn nothing_goes_to_a_draining_or_removed_receiver() {
-    for whole in [false, true] {
+fn no_attempt_is_sent_to_a_draining_or_removed_receiver() {
+    for full_list in [false, true] {
         let mut harness = Harness::new(settings(), vec![entry(1, 1, 0, 0), entry(2, 1, 0, 0)]);
         let draining = ListEntry { state: EntryState::Draining, ..entry(1, 1, 0, 0) };
-        harness.handle_event(if whole {
+        harness.handle_event(if full_list {
             Event::FullList(vec![entry(2, 1, 0, 0)])
         } else {
             Event::ListChanges(vec![draining])
@@ -177,22 +179,23 @@
 }
 
 #[test]
-fn failed_subscription_is_asked_again_within_the_interval() {
+fn failed_list_subscription_is_retried_within_the_poll_interval() {
     let mut harness = Harness::new(Settings { subscribe_to_list: true, ..settings() }, vec![]);
     assert_eq!(harness.list_requests, 1);
     for n in 2..12 {
         harness.handle_event(Event::ListFailed);
-        assert_eq!(harness.list_requests, n - 1, "not at once");
+        assert_eq!(harness.list_requests, n - 1, "the list is not requested at once");
         harness.advance(ms(9000));
         assert_eq!(harness.list_requests, n);
     }
     harness.handle_event(Event::ListChanges(vec![]));
     harness.advance(ms(30_000));
-    assert_eq!(harness.list_requests, 11, "a subscription that stands is left alone");
+    assert_eq!(harness.list_requests, 11, "an active subscription is not renewed");
 }
 
-/// Sends `wave` failures at a destination until it is sick, then answers all trials until it is back.
-fn sends_after_return(kind: usize, fail: Verdict) -> Vec<Micros> {
+/// Fails all calls to a destination until it is unhealthy, then delivers all until it has recovered. Returns
+/// the times of the attempts after the recovery.
+fn send_times_after_recovery(kind: usize, failure: Verdict) -> Vec<Micros> {
     let mut harness = Harness::new(settings(), vec![entry(1, 1, kind, 0)]);
     harness.warm_up(1000, 20, 1);
     let mut id = 1;
@@ -201,10 +204,10 @@
         id += 1;
         harness.advance(ms(20));
         for call in harness.in_flight.clone() {
-            harness.end_attempt(call.id, fail);
+            harness.end_attempt(call.id, failure);
         }
     }
-    let back = harness.now;
+    let recovered_at = harness.now;
     for _ in 0..500 {
         harness.submit(id, SAFE, 1);
         id += 1;
@@ -213,24 +216,23 @@
             harness.end_attempt(call.id, Verdict::Delivered);
         }
     }
-    harness.sent.iter().map(|s| s.at).filter(|t| *t >= back).collect()
+    harness.sent.iter().map(|s| s.at).filter(|t| *t >= recovered_at).collect()
 }
 
 #[test]
-fn returning_destination_is_not_pushed_over() {
-    for fail in [Verdict::Error, Verdict::ConnectFailed, Verdict::Reset, Verdict::Full(None)] {
-        let sends = sends_after_return(0, fail);
-        assert!(!sends.is_empty(), "it is tried again after {fail:?}");
-        // Weight 10 a second for two senders: this one's share of 1.5 x 0.25 x 10 x 1.5 s, and warming in 2
-        // s.
+fn recovering_destination_does_not_collapse() {
+    for failure in [Verdict::Error, Verdict::ConnectFailed, Verdict::Reset, Verdict::Full(None)] {
+        let sends = send_times_after_recovery(0, failure);
+        assert!(!sends.is_empty(), "the destination is called again after {failure:?}");
+        // The weight is 10 calls a second for two senders, so this sender has its share of 1.5 x 0.25 x 10 x 1.5 s, and of the growth of the capacity in 2 s.
         let first = sends[0];
         let window = sends.iter().filter(|t| t.since(first) < ms(1500)).count();
-        assert!(window <= 4, "{window} sends in the first window after {fail:?}");
+        assert!(window <= 4, "{window} calls in the first window after {failure:?}");
     }
 }
 
 #[test]
-fn opening_after_a_told_closure_is_met_by_one_call() {
+fn end_of_a_long_retry_after_gets_one_call() {
     let mut harness = Harness::new(settings(), vec![entry(1, 1, 0, 0)]);
     harness.warm_up(1000, 20, 1);
     harness.submit(1, SAFE, 1);
@@ -240,13 +242,13 @@
     }
     let before = harness.sent.len();
     harness.advance(ms(5990));
-    assert_eq!(harness.sent.len(), before, "the wait is kept");
+    assert_eq!(harness.sent.len(), before, "nothing is sent within the retry-after");
     harness.advance(ms(500));
-    assert_eq!(harness.sent.len(), before + 1, "the backlog does not rush in");
+    assert_eq!(harness.sent.len(), before + 1, "the backlog is not sent at once");
 }
 
 #[test]
-fn told_wait_binds_all_receivers_of_a_shared_destination() {
+fn retry_after_applies_to_all_receivers_of_a_shared_destination() {
     let mut harness = Harness::new(settings(), vec![entry(1, 1, 0, 0), entry(2, 1, 0, 0), entry(3, 3, 0, 0)]);
     harness.submit(1, SAFE, 1);
     harness.end_attempt(1, Verdict::Full(Some(ms(800))));
@@ -261,7 +263,7 @@
 }
 
 #[test]
-fn told_wait_binds_only_its_route_where_routes_are_apart() {
+fn retry_after_applies_to_one_route_where_routes_are_separate() {
     let mut harness = Harness::new(settings(), vec![entry(1, 1, 1, 0), entry(2, 1, 1, 0)]);
     harness.submit(1, SAFE, 1);
     let first = harness.sent[0].receiver;
@@ -273,7 +275,7 @@
 }
 
 #[test]
-fn messages_of_one_key_take_turns_and_the_key_rests_after_doubt() {
+fn messages_of_one_key_are_sent_in_order_with_a_cooldown_after_an_unknown_outcome() {
     let mut harness = Harness::new(settings(), vec![entry(1, 1, 0, 0)]);
     for id in 1..4 {
         harness.submit_with(id, ORDERED, 1, Some("k"), ms(20_000));
@@ -284,7 +286,8 @@
     harness.end_attempt(1, Verdict::Delivered);
     harness.end_attempt(4, Verdict::Delivered);
     assert_eq!(harness.sent.last().map(|s| s.id), Some(2));
-    // The client withdraws 2 while its call is out: 3 waits for the outcome, and for the rest after it.
+    // The client withdraws message 2 while its attempt is in flight: message 3 waits for the outcome and for
+    // the cooldown of the key after it.
     harness.handle_event(Event::Withdrawn(MessageId(2)));
     harness.advance(ms(500));
     assert_eq!(harness.attempts_of(3), 0);
@@ -296,7 +299,7 @@
 }
 
 #[test]
-fn sick_destination_with_only_unsafe_messages_is_tried_again() {
+fn unhealthy_destination_with_only_unsafe_messages_is_retried() {
     let mut harness = Harness::new(settings(), vec![entry(1, 1, 0, 0)]);
     for id in 1..6 {
         harness.submit(id, UNSAFE, 1);
@@ -306,11 +309,11 @@
     }
     let before = harness.sent.len();
     harness.advance(ms(4000));
-    assert!(harness.sent.len() > before, "else it would stay away for good");
+    assert!(harness.sent.len() > before, "otherwise the destination would never be called again");
 }
 
 #[test]
-fn what_the_pace_cannot_reach_is_refused_at_once_with_a_wait() {
+fn messages_beyond_the_pace_are_refused_at_once_with_a_retry_after() {
     let mut harness = Harness::new(settings(), vec![entry(1, 1, 0, 0)]);
     harness.warm_up(1000, 10, 1);
     for id in 1..300 {
@@ -320,32 +323,35 @@
         harness.end_attempt(call.id, Verdict::Full(None));
     }
     harness.advance(ms(2000));
-    assert!(harness.refused.len() > 20, "the pace is far too low for so many");
+    assert!(harness.refused.len() > 20, "the pace is far too low for 299 messages");
     assert!(
         harness.refused.iter().all(|r| r.1 == Some(ms(3000))),
-        "each with the longest wait that clients heed"
+        "each refusal has the longest retry-after that clients follow"
     );
 }
 
-/// A call that is given up may run on at its receiver, and its repeat takes of the same limit.
+/// Guards against timeouts that are too short or too long: a call that times out may still run at its
+/// receiver, and its repeat counts against the same limit. The timeout is half of the message's time, or as
+/// long as the deduplication window allows.
 #[test]
-fn what_may_be_repeated_is_waited_for_half_its_time_or_as_its_window_allows() {
-    let timeout = |class| {
+fn timeout_of_a_repeatable_call_leaves_time_for_a_repeat() {
+    let timeout_of = |class| {
         let mut harness = Harness::new(settings(), vec![entry(1, 1, 0, 0)]);
         harness.warm_up(1000, 20, 1);
         harness.submit(1, class, 1);
         harness.sent.last().unwrap().timeout
     };
-    assert_eq!((timeout(SAFE), timeout(ZONED)), (ms(10_000), ms(3000)));
+    assert_eq!((timeout_of(SAFE), timeout_of(ZONED)), (ms(10_000), ms(3000)));
 }
 
-/// A trial that hears nothing uses a keyed message's window up.
+/// Guards against a keyed message that is used as a trial too early: a trial without a response uses up its
+/// deduplication window.
 #[test]
-fn a_keyed_message_is_no_trial_before_a_safe_one_had_its_time() {
-    let tried = |class| {
-        // Without the budget of a cold one, which may come later than either.
-        let set = Settings { collapse_multiple: 0.0, ..settings() };
-        let mut harness = Harness::new(set, vec![entry(1, 1, 0, 0)]);
+fn keyed_message_is_used_as_a_trial_later_than_a_safe_one() {
+    let trial_after = |class| {
+        // No budget of a cold destination applies, since it could delay both classes.
+        let settings = Settings { collapse_multiple: 0.0, ..settings() };
+        let mut harness = Harness::new(settings, vec![entry(1, 1, 0, 0)]);
         harness.warm_up(1000, 20, 1);
         harness.submit(1, SAFE, 1);
         (0..3).for_each(|_| harness.end_attempt(1, Verdict::Reset));
@@ -353,8 +359,8 @@
         harness.submit(2, class, 1);
         let from = harness.now;
         harness.advance(ms(5000));
-        harness.sent.iter().find(|s| s.id == 2).expect("it is tried at last").at.since(from)
+        harness.sent.iter().find(|s| s.id == 2).expect("the message is sent as a trial").at.since(from)
     };
-    let (safe, keyed) = (tried(SAFE), tried(ZONED));
+    let (safe, keyed) = (trial_after(SAFE), trial_after(ZONED));
     assert!(keyed >= safe.plus(ms(400)), "{safe:?} {keyed:?}");
 }
