--- a/tests/core.rs
+++ b/tests/core.rs
@@ -1,4 +1,5 @@
-//! The life of a request without a wire, on a clock that the test moves.
+//! The life of a message in the ledger and its log, over crashes and restarts, without a network and on a
+//! virtual clock.
 
 mod common;
 use common::*;
@@ -6,299 +7,322 @@
 use onyxrock::interface::*;
 use rstest::rstest;
 
-struct Table {
+/// A ledger, its clock and its log.
+struct LedgerHarness {
     ledger: Ledger,
     now: Micros,
     log: Vec<Record>,
 }
 
-fn names() -> NameIndex {
-    let named = |all: &[(&str, usize)]| all.iter().map(|(n, i)| ((*n).to_owned(), *i)).collect();
+fn name_index() -> NameIndex {
+    let named = |all: &[(&str, usize)]| all.iter().map(|(name, i)| ((*name).to_owned(), *i)).collect();
     let classes = named(&[("safe", SAFE), ("unsafe", UNSAFE), ("zoned", ZONED)]);
     NameIndex { classes, zones: named(&[("a", 0), ("b", 1)]), ..NameIndex::default() }
 }
 
-impl Table {
-    fn new(plain: &[u64]) -> Table {
-        let plain = plain.iter().map(|d| DestinationId(*d)).collect();
-        let mut ledger = Ledger::new(settings(), names(), plain, 5);
+impl LedgerHarness {
+    /// Starts a ledger with an empty log; the given destinations do not deduplicate.
+    fn new(without_deduplication: &[u64]) -> LedgerHarness {
+        let without_deduplication = without_deduplication.iter().map(|d| DestinationId(*d)).collect();
+        let mut ledger = Ledger::new(settings(), name_index(), without_deduplication, 5);
         let list = vec![entry(1, 1, 0, 0), entry(2, 1, 0, 1)];
         ledger.on_list_event(ms(1000), Event::FullList(list));
-        Table { ledger, now: ms(1000), log: Vec::new() }
+        LedgerHarness { ledger, now: ms(1000), log: Vec::new() }
     }
-    fn take(&mut self, class: &str, left: u64) -> u64 {
-        let n = self.ledger.allocate_number();
-        let deadline = self.now.plus(ms(left));
-        let taken = AcceptedMessage {
-            number: n,
-            request_id: format!("m{n}"),
+    /// Accepts and logs a message of a class with this time left.
+    fn accept_message(&mut self, class: &str, time_left_ms: u64) -> u64 {
+        let number = self.ledger.allocate_number();
+        let deadline = self.now.plus(ms(time_left_ms));
+        let message = AcceptedMessage {
+            number,
+            request_id: format!("m{number}"),
             class: class.into(),
             destination: 1,
             deadline,
             ..AcceptedMessage::default()
         };
-        self.log.push(Record::Accepted(taken.clone()));
-        self.ledger.accept(self.now, taken);
-        n
+        self.log.push(Record::Accepted(message.clone()));
+        self.ledger.accept(self.now, message);
+        number
     }
-    fn steps(&mut self) -> Vec<LedgerAction> {
-        let mut steps = Vec::new();
-        self.ledger.decide(self.now, true, &mut steps);
-        steps.retain(|s| !matches!(s, LedgerAction::LogUnhealthy { .. }));
-        for s in &steps {
-            if let LedgerAction::ReportFinalStatus { number: n, status: end } = s {
-                self.log.push(Record::FinalStatus { number: *n, status: *end });
+    /// Lets the ledger decide and logs the final statuses among its actions.
+    fn decide(&mut self) -> Vec<LedgerAction> {
+        let mut actions = Vec::new();
+        self.ledger.decide(self.now, true, &mut actions);
+        actions.retain(|action| !matches!(action, LedgerAction::LogUnhealthy { .. }));
+        for action in &actions {
+            if let LedgerAction::ReportFinalStatus { number, status } = action {
+                self.log.push(Record::FinalStatus { number: *number, status: *status });
             }
         }
-        steps
+        actions
     }
-    /// Writes the call that the last steps ask for.
-    fn call(&mut self) -> (u64, u32, ReceiverId) {
-        let call = self.steps().into_iter().find_map(|s| match s {
-            LedgerAction::Call { number: n, attempt, receiver: to, .. } => Some((n, attempt, to)),
+    /// Begins and logs the first attempt that the ledger decides.
+    fn begin_attempt(&mut self) -> (u64, u32, ReceiverId) {
+        let call = self.decide().into_iter().find_map(|action| match action {
+            LedgerAction::Call { number, attempt, receiver, .. } => Some((number, attempt, receiver)),
             _ => None,
         });
-        let call = call.expect("a call is asked for");
+        let call = call.expect("the ledger decides a call");
         let zone = if call.2 == ReceiverId(1) { "a" } else { "b" };
         self.log.extend(self.ledger.begin_attempt(call.0, call.1, "e", zone, self.now));
         call
     }
-    fn end_attempt(&mut self, (n, attempt, to): (u64, u32, ReceiverId), verdict: Verdict) {
+    /// Ends an attempt after 100 ms and logs its outcome.
+    fn end_attempt(&mut self, (number, attempt, receiver): (u64, u32, ReceiverId), verdict: Verdict) {
         let elapsed = ms(100);
         self.now = self.now.plus(elapsed);
-        let a = AttemptOutcome {
-            number: n,
+        let outcome = AttemptOutcome {
+            number,
             attempt,
-            receiver: to,
+            receiver,
             verdict,
             elapsed,
             finished: false,
             load_report: (None, None),
             wait_until: Micros(0),
         };
-        self.log.extend(self.ledger.end_attempt(self.now, &a));
+        self.log.extend(self.ledger.end_attempt(self.now, &outcome));
     }
-    /// Another process, from what the log holds.
-    fn restart(&mut self, pause: u64, plain: &[u64]) -> usize {
+    /// Crashes and recovers from the log after a pause. Returns the number of resumed messages.
+    fn restart(&mut self, pause_ms: u64, without_deduplication: &[u64]) -> usize {
         let mut bytes = Vec::new();
-        self.log.iter().for_each(|r| r.write(&mut bytes));
-        let owed = recover(scan_log(&bytes).records);
-        let (now, log) = (self.now.plus(ms(pause)), std::mem::take(&mut self.log));
-        *self = Table { now, log, ..Table::new(plain) };
-        let count = owed.len();
-        for o in owed.into_values() {
-            self.ledger.resume(now, o);
+        self.log.iter().for_each(|record| record.write(&mut bytes));
+        let open = recover(scan_log(&bytes).records);
+        let (now, log) = (self.now.plus(ms(pause_ms)), std::mem::take(&mut self.log));
+        *self = LedgerHarness { now, log, ..LedgerHarness::new(without_deduplication) };
+        let count = open.len();
+        for message in open.into_values() {
+            self.ledger.resume(now, message);
         }
         count
     }
-    fn ends(&mut self, span: u64) -> Vec<(u64, FinalStatus)> {
-        let mut ends = Vec::new();
-        for _ in 0..span / 10 {
-            let steps = self.steps();
-            ends.extend(steps.iter().filter_map(|s| match s {
-                LedgerAction::ReportFinalStatus { number: n, status: end } => Some((*n, *end)),
+    /// Advances the clock in steps of 10 ms and returns the final statuses that the ledger reports.
+    fn final_statuses(&mut self, span_ms: u64) -> Vec<(u64, FinalStatus)> {
+        let mut statuses = Vec::new();
+        for _ in 0..span_ms / 10 {
+            let actions = self.decide();
+            statuses.extend(actions.iter().filter_map(|action| match action {
+                LedgerAction::ReportFinalStatus { number, status } => Some((*number, *status)),
                 _ => None,
             }));
             self.now = self.now.plus(ms(10));
         }
-        ends
+        statuses
     }
 }
 
 #[test]
-fn a_delivery_ends_a_request_and_leaves_nothing_owed() {
-    let mut t = Table::new(&[]);
-    t.take("safe", 5000);
-    let call = t.call();
-    t.end_attempt(call, Verdict::Delivered);
-    assert_eq!((t.ledger.held_count(), t.ledger.open_messages().count()), (0, 0));
-    assert_eq!(t.restart(100, &[]), 0);
+fn delivered_message_is_not_resumed_after_a_restart() {
+    let mut harness = LedgerHarness::new(&[]);
+    harness.accept_message("safe", 5000);
+    let call = harness.begin_attempt();
+    harness.end_attempt(call, Verdict::Delivered);
+    assert_eq!((harness.ledger.held_count(), harness.ledger.open_messages().count()), (0, 0));
+    assert_eq!(harness.restart(100, &[]), 0);
 }
 
 #[test]
-fn an_unsafe_call_out_at_death_ends_by_failed_at_once() {
-    let mut t = Table::new(&[]);
-    let n = t.take("unsafe", 20_000);
-    t.call();
-    assert_eq!(t.restart(700, &[]), 1);
-    assert_eq!(t.steps(), [LedgerAction::ReportFinalStatus { number: n, status: FinalStatus::Failed }]);
+fn unsafe_message_in_flight_at_a_crash_fails_at_once() {
+    let mut harness = LedgerHarness::new(&[]);
+    let number = harness.accept_message("unsafe", 20_000);
+    harness.begin_attempt();
+    assert_eq!(harness.restart(700, &[]), 1);
+    assert_eq!(harness.decide(), [LedgerAction::ReportFinalStatus { number, status: FinalStatus::Failed }]);
 }
 
 #[test]
-fn what_was_turned_away_before_death_may_go_again() {
-    let mut t = Table::new(&[]);
-    t.take("unsafe", 20_000);
-    let call = t.call();
-    t.end_attempt(call, Verdict::Full(None));
-    t.restart(700, &[]);
-    assert_eq!(t.call().1, 1, "the attempt before counts");
+fn message_refused_before_a_crash_is_sent_again() {
+    let mut harness = LedgerHarness::new(&[]);
+    harness.accept_message("unsafe", 20_000);
+    let call = harness.begin_attempt();
+    harness.end_attempt(call, Verdict::Full(None));
+    harness.restart(700, &[]);
+    assert_eq!(harness.begin_attempt().1, 1, "the attempt before the crash counts");
 }
 
 #[test]
-fn a_keyed_call_out_at_death_goes_to_its_zone_within_its_window() {
-    let mut t = Table::new(&[]);
-    t.take("zoned", 20_000);
-    let first = t.call();
-    t.restart(700, &[]);
-    assert_eq!(t.call().2, first.2);
-    // And not at all once the window, counted from the first send, has passed.
-    let mut t = Table::new(&[]);
-    let n = t.take("zoned", 20_000);
-    t.call();
-    t.restart(5000, &[]);
-    assert_eq!(t.steps(), [LedgerAction::ReportFinalStatus { number: n, status: FinalStatus::Failed }]);
+fn keyed_message_in_flight_at_a_crash_is_repeated_only_in_its_zone_and_window() {
+    let mut harness = LedgerHarness::new(&[]);
+    harness.accept_message("zoned", 20_000);
+    let first = harness.begin_attempt();
+    harness.restart(700, &[]);
+    assert_eq!(harness.begin_attempt().2, first.2);
+    // It is not repeated once the window, counted from its first attempt, has passed.
+    let mut harness = LedgerHarness::new(&[]);
+    let number = harness.accept_message("zoned", 20_000);
+    harness.begin_attempt();
+    harness.restart(5000, &[]);
+    assert_eq!(harness.decide(), [LedgerAction::ReportFinalStatus { number, status: FinalStatus::Failed }]);
 }
 
 #[test]
-fn a_destination_that_drops_no_repeats_gets_none_of_a_keyed_message() {
-    let mut t = Table::new(&[1]);
-    let n = t.take("zoned", 20_000);
-    let call = t.call();
-    t.end_attempt(call, Verdict::Reset);
-    assert_eq!(t.ends(100), [(n, FinalStatus::Failed)]);
+fn keyed_message_is_not_repeated_at_a_destination_without_deduplication() {
+    let mut harness = LedgerHarness::new(&[1]);
+    let number = harness.accept_message("zoned", 20_000);
+    let call = harness.begin_attempt();
+    harness.end_attempt(call, Verdict::Reset);
+    assert_eq!(harness.final_statuses(100), [(number, FinalStatus::Failed)]);
 }
 
 #[test]
-fn an_end_that_was_given_is_only_told_after_a_restart() {
-    let mut t = Table::new(&[]);
-    let n = t.take("unsafe", 20_000);
-    let call = t.call();
-    t.end_attempt(call, Verdict::Error);
-    assert_eq!(t.ends(10), [(n, FinalStatus::Failed)]);
+fn recorded_final_status_is_not_decided_again_after_a_restart() {
+    let mut harness = LedgerHarness::new(&[]);
+    let number = harness.accept_message("unsafe", 20_000);
+    let call = harness.begin_attempt();
+    harness.end_attempt(call, Verdict::Error);
+    assert_eq!(harness.final_statuses(10), [(number, FinalStatus::Failed)]);
     let mut bytes = Vec::new();
-    t.log.iter().for_each(|r| r.write(&mut bytes));
-    let owed = recover(scan_log(&bytes).records);
-    assert_eq!(owed[&n].final_status, Some(FinalStatus::Failed));
-    t.restart(10, &[]);
-    assert_eq!((t.ends(3000), t.ledger.held_count()), (vec![], 0), "it is not decided on again");
-    t.ledger.close(n);
-    assert_eq!(t.ledger.open_messages().count(), 0);
+    harness.log.iter().for_each(|r| r.write(&mut bytes));
+    let open = recover(scan_log(&bytes).records);
+    assert_eq!(open[&number].final_status, Some(FinalStatus::Failed));
+    harness.restart(10, &[]);
+    assert_eq!(
+        (harness.final_statuses(3000), harness.ledger.held_count()),
+        (vec![], 0),
+        "the status is not decided again"
+    );
+    harness.ledger.close(number);
+    assert_eq!(harness.ledger.open_messages().count(), 0);
 }
 
 #[test]
-fn a_client_that_wants_a_receipt_is_told_of_the_delivery() {
-    let mut t = Table::new(&[]);
-    let n = t.take("safe", 5000);
-    let Some(Record::Accepted(taken)) = t.log.first().cloned() else { panic!("it is in the log") };
-    t.ledger.withdraw(t.now, n);
-    t.ledger.accept(t.now, AcceptedMessage { wants_receipt: true, number: n + 1, ..taken });
-    let call = (n + 1, 0, t.call().2);
-    t.end_attempt(call, Verdict::Delivered);
-    assert_eq!(t.ends(10), [(n + 1, FinalStatus::Delivered)]);
+fn delivery_is_reported_to_a_client_that_wants_a_receipt() {
+    let mut harness = LedgerHarness::new(&[]);
+    let number = harness.accept_message("safe", 5000);
+    let Some(Record::Accepted(message)) = harness.log.first().cloned() else {
+        panic!("the message is in the log")
+    };
+    harness.ledger.withdraw(harness.now, number);
+    harness
+        .ledger
+        .accept(harness.now, AcceptedMessage { wants_receipt: true, number: number + 1, ..message });
+    let call = (number + 1, 0, harness.begin_attempt().2);
+    harness.end_attempt(call, Verdict::Delivered);
+    assert_eq!(harness.final_statuses(10), [(number + 1, FinalStatus::Delivered)]);
 }
 
 #[test]
-fn an_attempt_is_not_written_for_a_request_that_is_over() {
-    let mut t = Table::new(&[]);
-    let n = t.take("safe", 5000);
-    let steps = t.steps();
-    assert!(matches!(steps[0], LedgerAction::Call { .. }));
-    t.ledger.withdraw(t.now, n);
-    assert_eq!(t.ledger.begin_attempt(n, 0, "e", "a", t.now), Err(AttemptDenied::NotOpen));
+fn attempt_of_an_ended_message_is_not_recorded() {
+    let mut harness = LedgerHarness::new(&[]);
+    let number = harness.accept_message("safe", 5000);
+    let actions = harness.decide();
+    assert!(matches!(actions[0], LedgerAction::Call { .. }));
+    harness.ledger.withdraw(harness.now, number);
+    assert_eq!(harness.ledger.begin_attempt(number, 0, "e", "a", harness.now), Err(AttemptDenied::NotOpen));
 }
 
-/// Whatever the module decides, an attempt that the class does not allow to be repeated is refused by what
-/// the log knows.
+/// Guards against a wrong decision of the policy: a repeat that the class forbids is denied by the ledger's
+/// own records.
 #[rstest]
 #[case::once("unsafe", "a", 0, Err(AttemptDenied::RepeatForbidden))]
 #[case::safe("safe", "b", 9_000, Ok(()))]
 #[case::same_zone("zoned", "a", 1_000, Ok(()))]
 #[case::other_zone("zoned", "b", 1_000, Err(AttemptDenied::RepeatForbidden))]
 #[case::window_over("zoned", "a", 900_000, Err(AttemptDenied::RepeatForbidden))]
-fn a_repeat_that_the_class_does_not_allow_is_refused(
-    #[case] class: &str, #[case] zone: &str, #[case] later: u64, #[case] says: Result<(), AttemptDenied>,
+fn repeat_that_the_class_forbids_is_denied(
+    #[case] class: &str, #[case] zone: &str, #[case] delay_ms: u64,
+    #[case] expected: Result<(), AttemptDenied>,
 ) {
-    let mut t = Table::new(&[]);
-    let n = t.take(class, 20_000);
-    let (_, attempt, to) = t.call();
-    t.end_attempt((n, attempt, to), Verdict::Reset);
-    let at = t.now.plus(ms(later));
-    let again = t.ledger.begin_attempt(n, 1, "e", zone, at).map(drop);
-    assert_eq!(again, says);
+    let mut harness = LedgerHarness::new(&[]);
+    let number = harness.accept_message(class, 20_000);
+    let (_, attempt, receiver) = harness.begin_attempt();
+    harness.end_attempt((number, attempt, receiver), Verdict::Reset);
+    let at = harness.now.plus(ms(delay_ms));
+    let repeat = harness.ledger.begin_attempt(number, 1, "e", zone, at).map(drop);
+    assert_eq!(repeat, expected);
 }
 
-/// The wall clock was set back by an hour between two processes: nothing is owed for longer than its class
-/// gives, and no window is open for an attempt of the future.
+/// Guards against a wall clock that is set back by an hour between two processes: no message stays open for
+/// longer than its class allows, and the window of an attempt with a time in the future is closed.
 #[test]
-fn a_clock_that_was_set_back_opens_no_window_and_gives_no_time() {
-    let mut before = Table::new(&[]);
+fn clock_set_back_extends_no_window_and_no_deadline() {
+    let mut before = LedgerHarness::new(&[]);
     let hour = ms(3_600_000);
     before.now = before.now.plus(hour).plus(hour);
-    let n = before.take("zoned", 9_000);
-    let tried = before.call();
-    before.end_attempt(tried, Verdict::Reset);
-    let owed = recover(before.log).remove(&n).expect("it is owed");
-    let mut after = Table::new(&[]);
+    let number = before.accept_message("zoned", 9_000);
+    let attempt = before.begin_attempt();
+    before.end_attempt(attempt, Verdict::Reset);
+    let open = recover(before.log).remove(&number).expect("the message is open");
+    let mut after = LedgerHarness::new(&[]);
     after.now = after.now.plus(hour);
-    after.ledger.resume(after.now, owed);
-    let steps = after.steps();
-    assert!(!steps.iter().any(|s| matches!(s, LedgerAction::Call { .. })), "{steps:?}");
-    let owed = after.ledger.get(n).expect("it is owed still");
-    assert!(owed.accepted.deadline <= after.ledger.latest_deadline(after.now, "zoned"));
-    assert!(after.ledger.begin_attempt(n, 1, "e", "a", after.now).is_err());
+    after.ledger.resume(after.now, open);
+    let actions = after.decide();
+    assert!(!actions.iter().any(|action| matches!(action, LedgerAction::Call { .. })), "{actions:?}");
+    let open = after.ledger.get(number).expect("the message is still open");
+    assert!(open.accepted.deadline <= after.ledger.latest_deadline(after.now, "zoned"));
+    assert!(after.ledger.begin_attempt(number, 1, "e", "a", after.now).is_err());
 }
 
 #[test]
-fn damage_costs_only_the_records_that_it_hits() {
-    let over = |n| Record::Closed(n);
+fn damaged_log_loses_only_the_damaged_records() {
+    let closed = |number| Record::Closed(number);
     let mut bytes = Vec::new();
-    (1..=3).for_each(|n| over(n).write(&mut bytes));
-    let one = bytes.len() / 3;
-    for cut in 0..one {
-        let scan = scan_log(&bytes[..2 * one + cut]);
-        assert_eq!((scan.records, scan.damaged_bytes), (vec![over(1), over(2)], cut), "a torn tail");
+    (1..=3).for_each(|number| closed(number).write(&mut bytes));
+    let record_len = bytes.len() / 3;
+    for cut in 0..record_len {
+        let scan = scan_log(&bytes[..2 * record_len + cut]);
+        assert_eq!(
+            (scan.records, scan.damaged_bytes),
+            (vec![closed(1), closed(2)], cut),
+            "a truncated record"
+        );
     }
-    for hit in 0..one {
-        let mut bad = bytes.clone();
-        bad[one + hit] ^= 0x55;
-        let scan = scan_log(&bad);
-        assert_eq!((scan.records, scan.damaged_bytes), (vec![over(1), over(3)], one), "a bad byte");
+    for offset in 0..record_len {
+        let mut damaged = bytes.clone();
+        damaged[record_len + offset] ^= 0x55;
+        let scan = scan_log(&damaged);
+        assert_eq!(
+            (scan.records, scan.damaged_bytes),
+            (vec![closed(1), closed(3)], record_len),
+            "a damaged byte"
+        );
     }
     assert_eq!(scan_log(&[0xa7; 64]).damaged_bytes, 64);
 }
 
 #[test]
-fn a_new_log_says_what_the_old_one_said() {
-    let mut t = Table::new(&[]);
+fn compacted_log_recovers_the_same_messages() {
+    let mut harness = LedgerHarness::new(&[]);
     for (class, verdict) in
         [("safe", Verdict::TimedOut), ("zoned", Verdict::Reset), ("unsafe", Verdict::Error)]
     {
-        t.take(class, 20_000);
-        let call = t.call();
-        t.end_attempt(call, verdict);
+        harness.accept_message(class, 20_000);
+        let call = harness.begin_attempt();
+        harness.end_attempt(call, verdict);
     }
-    t.ends(10);
-    t.take("unsafe", 20_000);
-    t.now = t.now.plus(ms(3000));
-    t.call();
-    let read = |records: &[Record]| {
+    harness.final_statuses(10);
+    harness.accept_message("unsafe", 20_000);
+    harness.now = harness.now.plus(ms(3000));
+    harness.begin_attempt();
+    let recovered = |records: &[Record]| {
         let mut bytes = Vec::new();
-        records.iter().for_each(|r| r.write(&mut bytes));
+        records.iter().for_each(|record| record.write(&mut bytes));
         recover(scan_log(&bytes).records)
     };
-    let compact: Vec<Record> = t.ledger.open_messages().flat_map(OpenMessage::records).collect();
-    assert_eq!(read(&t.log), read(&compact));
-    assert_eq!(t.ledger.open_messages().count(), 4);
+    let compacted: Vec<Record> = harness.ledger.open_messages().flat_map(OpenMessage::records).collect();
+    assert_eq!(recovered(&harness.log), recovered(&compacted));
+    assert_eq!(harness.ledger.open_messages().count(), 4);
 }
 
-/// An id is refused for as long as its request could still run, and no longer: what is kept of ids has a
-/// bound.
+/// Guards against a request that is accepted twice, and against unbounded memory: an id is refused as long as
+/// its request could still run, and the number of ids is bounded.
 #[test]
-fn an_id_comes_once_and_is_forgotten_in_time() {
+fn recent_request_id_is_refused_until_it_expires() {
     let mut ids = onyxrock::core::RecentIds::new(Micros(1000));
     assert!(ids.insert(Micros(0), "a") && !ids.insert(Micros(900), "a") && ids.insert(Micros(900), "b"));
-    assert!(ids.insert(Micros(1001), "a"), "its time is over");
+    assert!(ids.insert(Micros(1001), "a"), "the id has expired");
     assert!(!ids.insert(Micros(1001), "b"));
     assert!((0..20_000).all(|i| ids.insert(Micros(1001), &i.to_string())));
-    assert!(ids.insert(Micros(1001), "b"), "the oldest goes when there are too many");
+    assert!(ids.insert(Micros(1001), "b"), "the oldest id is dropped when there are too many");
     assert!(!ids.insert(Micros(1001), "19999"));
 }
 
-/// With a second copy out, what the log knows of the first must not be lost to the outcome of the other: its
-/// window and its group bind a repeat.
+/// Guards against the loss of the first attempt when its second copy has an outcome: the window and the zone
+/// of the first attempt still limit a repeat.
 #[test]
-fn of_two_attempts_out_at_death_the_earlier_binds() {
-    let taken =
+fn earlier_of_two_attempts_in_flight_at_a_crash_limits_the_repeat() {
+    let message =
         AcceptedMessage { number: 1, class: "zoned".into(), destination: 1, ..AcceptedMessage::default() };
     let attempt = |attempt, at, zone: &str| Record::Attempt {
         number: 1,
@@ -307,24 +331,24 @@
         zone: zone.into(),
         at: ms(at),
     };
-    for end in [AttemptStatus::NeverRan, AttemptStatus::MayHaveRun] {
-        let mut log = vec![Record::Accepted(taken.clone()), attempt(0, 100, "a"), attempt(1, 200, "b")];
-        log.push(Record::Outcome { number: 1, attempt: 1, status: end });
-        let owed = recover(log).remove(&1).unwrap();
+    for status in [AttemptStatus::NeverRan, AttemptStatus::MayHaveRun] {
+        let mut log = vec![Record::Accepted(message.clone()), attempt(0, 100, "a"), attempt(1, 200, "b")];
+        log.push(Record::Outcome { number: 1, attempt: 1, status });
+        let open = recover(log).remove(&1).unwrap();
         assert_eq!(
-            (owed.attempts, owed.first_possible_run.clone()),
+            (open.attempts, open.first_possible_run.clone()),
             (2, Some((ms(100), "a".to_owned()))),
-            "{end:?}"
+            "{status:?}"
         );
-        // As a new log would say it.
-        assert_eq!(recover(owed.records()).remove(&1), Some(owed));
+        // A compacted log recovers the same message.
+        assert_eq!(recover(open.records()).remove(&1), Some(open));
     }
-    // Both out: the new log has each, and a log of before copies, which names no attempts, is read as it was
-    // meant.
-    let mut owed = OpenMessage { accepted: taken, ..OpenMessage::default() };
+    // With both attempts in flight the compacted log has both. A log from before second copies, which has no
+    // attempt numbers, is read with its former meaning.
+    let mut open = OpenMessage { accepted: message, ..OpenMessage::default() };
     for record in [attempt(0, 100, "a"), attempt(1, 200, "b")] {
-        owed.apply(&record);
+        open.apply(&record);
     }
-    let again = recover(owed.records()).remove(&1).unwrap();
-    assert_eq!((again.attempts, again.first_possible_run), (2, Some((ms(100), "a".to_owned()))));
+    let recovered = recover(open.records()).remove(&1).unwrap();
+    assert_eq!((recovered.attempts, recovered.first_possible_run), (2, Some((ms(100), "a".to_owned()))));
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -224,7 +224,8 @@
     for failure in [Verdict::Error, Verdict::ConnectFailed, Verdict::Reset, Verdict::Full(None)] {
         let sends = send_times_after_recovery(0, failure);
         assert!(!sends.is_empty(), "the destination is called again after {failure:?}");
-        // The weight is 10 calls a second for two senders, so this sender has its share of 1.5 x 0.25 x 10 x 1.5 s, and of the growth of the capacity in 2 s.
+        // The weight is 10 calls a second for two senders, so this sender has its share of 1.5 x 0.25 x 10 x
+        // 1.5 s, and of the growth of the capacity in 2 s.
         let first = sends[0];
         let window = sends.iter().filter(|t| t.since(first) < ms(1500)).count();
         assert!(window <= 4, "{window} calls in the first window after {failure:?}");
