--- a/tests/fleet_restart.rs
+++ b/tests/fleet_restart.rs
@@ -148,22 +148,22 @@
             attempts_cut_off: 0,
             messages_resumed: 0,
         };
-        (0..SENDERS).for_each(|s| fleet.start(s));
+        (0..SENDERS).for_each(|index| fleet.start(index));
         fleet
     }
 
-    /// Starts sender `s` from its log.
-    fn start(&mut self, s: usize) {
+    /// Starts sender `index` from its log.
+    fn start(&mut self, index: usize) {
         let deployment = &self.deployment;
         let mut ledger = Ledger::new(
             deployment.settings.clone(),
             deployment.name_index.clone(),
             BTreeSet::new(),
-            11 + s as u64,
+            11 + index as u64,
         );
         ledger.on_list_event(self.now, endpoint_list());
         let mut bytes = Vec::new();
-        self.senders[s].log.iter().for_each(|r| r.write(&mut bytes));
+        self.senders[index].log.iter().for_each(|r| r.write(&mut bytes));
         for open in recover(scan_log(&bytes).records).into_values() {
             self.messages_resumed += 1;
             assert!(
@@ -171,23 +171,23 @@
                 "an end is reported in the same step in which it is decided"
             );
         }
-        let sender = &mut self.senders[s];
+        let sender = &mut self.senders[index];
         (sender.ledger, sender.started_at) = (Some(ledger), self.now);
     }
 
-    /// Kills sender `s`. Its attempts in flight still run at the receivers, but their outcomes are lost.
-    fn kill(&mut self, s: usize) {
-        let sender = &mut self.senders[s];
+    /// Kills sender `index`. Its attempts in flight still run at the receivers, but their outcomes are lost.
+    fn kill(&mut self, index: usize) {
+        let sender = &mut self.senders[index];
         self.attempts_cut_off += sender.in_flight.len();
         sender.ledger = None;
         sender.in_flight.clear();
     }
 
-    /// Submits the `i`-th message to a live sender, unless its ledger is full.
-    fn submit(&mut self, i: u64) {
-        let live: Vec<usize> = (0..SENDERS).filter(|s| self.senders[*s].ledger.is_some()).collect();
-        let Some(&s) = live.get(i as usize % live.len().max(1)) else { return };
-        let point = i * 37 % 100;
+    /// Submits the `sequence`-th message to a live sender, unless its ledger is full.
+    fn submit(&mut self, sequence: u64) {
+        let live: Vec<usize> = (0..SENDERS).filter(|index| self.senders[*index].ledger.is_some()).collect();
+        let Some(&index) = live.get(sequence as usize % live.len().max(1)) else { return };
+        let point = sequence * 37 % 100;
         let mut cumulative_share = 0;
         let class = self.deployment.class_mix.iter().position(|c| {
             cumulative_share += c.1;
@@ -195,7 +195,7 @@
         });
         let (class, name) = (class.unwrap_or(0), self.deployment.class_mix[class.unwrap_or(0)].0);
         let give_up = self.deployment.settings.classes[class].give_up_after;
-        let sender = &mut self.senders[s];
+        let sender = &mut self.senders[index];
         let ledger = sender.ledger.as_mut().expect("the sender is up");
         if ledger.is_full() {
             return;
@@ -205,7 +205,7 @@
         let number = self.next_message;
         self.next_message += 1;
         let deadline = self.now.plus(give_up);
-        let destination = i * 7 % 10 % DESTINATIONS;
+        let destination = sequence * 7 % 10 % DESTINATIONS;
         let message = AcceptedMessage {
             number,
             request_id: format!("m{number}"),
@@ -216,7 +216,7 @@
         };
         sender.log.push(Record::Accepted(message.clone()));
         ledger.accept(self.now, message);
-        self.accepted.insert(number, (s, class, deadline, vec![]));
+        self.accepted.insert(number, (index, class, deadline, vec![]));
     }
 
     /// Serves a call at a receiver: applies the rate limit, records the effect unless it is a dropped repeat,
@@ -258,10 +258,10 @@
         }
     }
 
-    /// Records that sender `s` reported the end of a message, and checks the end.
-    fn record_end(&mut self, s: usize, number: u64, status: &'static str) {
+    /// Records that sender `index` reported the end of a message, and checks the end.
+    fn record_end(&mut self, index: usize, number: u64, status: &'static str) {
         let (owner, class, deadline, ends) = self.accepted.get_mut(&number).expect("an accepted message");
-        assert_eq!(*owner, s, "m{number} is ended by the sender that accepted it");
+        assert_eq!(*owner, index, "m{number} is ended by the sender that accepted it");
         ends.push((self.now, status));
         // A client submits a returned message again, which is harmless only if the effect may be repeated.
         let effect = self.deployment.settings.classes[*class].effect;
@@ -271,17 +271,17 @@
             status != "returned" || harmless || effects == 0,
             "m{number} was returned after it took effect"
         );
-        let late = self.now.since((*deadline).max(self.senders[s].started_at));
+        let late = self.now.since((*deadline).max(self.senders[index].started_at));
         assert!(late <= ms(TICK_MS), "m{number} ended {late:?} after its deadline or the restart ({status})");
     }
 
-    /// Ends the attempts of sender `s` that are due and carries out the decisions of its ledger.
-    fn step(&mut self, s: usize) {
+    /// Ends the attempts of sender `index` that are due and carries out the decisions of its ledger.
+    fn step(&mut self, index: usize) {
         let now = self.now;
         let due: Vec<_> =
-            self.senders[s].in_flight.iter().filter(|(_, c)| c.0 <= now).map(|(k, c)| (*k, *c)).collect();
+            self.senders[index].in_flight.iter().filter(|(_, c)| c.0 <= now).map(|(k, c)| (*k, *c)).collect();
         for ((number, attempt), (_, receiver, verdict, sent_at)) in due {
-            self.senders[s].in_flight.remove(&(number, attempt));
+            self.senders[index].in_flight.remove(&(number, attempt));
             let outcome = AttemptOutcome {
                 number,
                 attempt,
@@ -293,41 +293,41 @@
                 wait_until: Micros(0),
             };
             let record =
-                self.senders[s].ledger.as_mut().expect("the sender is up").end_attempt(now, &outcome);
+                self.senders[index].ledger.as_mut().expect("the sender is up").end_attempt(now, &outcome);
             if let Some(record) = record {
                 let closed = matches!(record, Record::Closed(_));
-                self.senders[s].log.push(record);
+                self.senders[index].log.push(record);
                 if closed && verdict == Verdict::Delivered {
-                    self.record_end(s, number, "delivered");
+                    self.record_end(index, number, "delivered");
                 }
             }
         }
         let mut actions = Vec::new();
-        self.senders[s].ledger.as_mut().expect("the sender is up").decide(now, true, &mut actions);
+        self.senders[index].ledger.as_mut().expect("the sender is up").decide(now, true, &mut actions);
         for action in actions {
             match action {
                 LedgerAction::Call { number, attempt, receiver, timeout } => {
                     let zone = if receiver.0 % 2 == 0 { "a" } else { "b" };
-                    let ledger = self.senders[s].ledger.as_mut().expect("the sender is up");
+                    let ledger = self.senders[index].ledger.as_mut().expect("the sender is up");
                     let Ok(record) =
                         ledger.begin_attempt(number, attempt, &format!("e{}", receiver.0), zone, now)
                     else {
                         continue;
                     };
-                    self.senders[s].log.push(record);
+                    self.senders[index].log.push(record);
                     let (at, verdict) = self.receive(number, receiver, timeout);
-                    self.senders[s].in_flight.insert((number, attempt), (at, receiver, verdict, now));
+                    self.senders[index].in_flight.insert((number, attempt), (at, receiver, verdict, now));
                 }
                 LedgerAction::CancelAttempt { number, attempt } => {
-                    self.senders[s].in_flight.remove(&(number, attempt));
+                    self.senders[index].in_flight.remove(&(number, attempt));
                 }
                 LedgerAction::ReportFinalStatus { number, status } => {
-                    let sender = &mut self.senders[s];
+                    let sender = &mut self.senders[index];
                     sender.log.push(Record::FinalStatus { number, status });
                     let closed = sender.ledger.as_mut().expect("the sender is up").close(number);
                     sender.log.extend(closed);
                     self.record_end(
-                        s,
+                        index,
                         number,
                         if status == FinalStatus::Failed { "failed" } else { "returned" },
                     );
@@ -342,17 +342,17 @@
     /// started. Returns the next message.
     fn run(&mut self, span_ms: u64, rate: u64, plan: &[(u64, usize, bool)], from: u64) -> u64 {
         let mut submitted = from;
-        for t in (0..span_ms).step_by(TICK_MS as usize) {
-            for &(_, s, kill) in plan.iter().filter(|p| p.0 == t) {
-                if kill { self.kill(s) } else { self.start(s) }
+        for elapsed_ms in (0..span_ms).step_by(TICK_MS as usize) {
+            for &(_, index, kill) in plan.iter().filter(|p| p.0 == elapsed_ms) {
+                if kill { self.kill(index) } else { self.start(index) }
             }
-            while submitted < from + (t + TICK_MS) * rate / 1000 {
+            while submitted < from + (elapsed_ms + TICK_MS) * rate / 1000 {
                 self.submit(submitted);
                 submitted += 1;
             }
-            for s in 0..SENDERS {
-                if self.senders[s].ledger.is_some() {
-                    self.step(s);
+            for index in 0..SENDERS {
+                if self.senders[index].ledger.is_some() {
+                    self.step(index);
                 }
             }
             self.now = self.now.plus(ms(TICK_MS));
--- a/tests/many_senders.rs
+++ b/tests/many_senders.rs
@@ -86,10 +86,10 @@
 /// A sender with nine receivers of a kind, eight of which have refused it with a full table.
 fn among_full_tables() -> Harness {
     let mut harness = Harness::new(many_senders_settings(), (1..=9).map(|d| entry(d, d, 0, 0)).collect());
-    for d in 1..=8 {
-        harness.submit(d, SAFE, d);
-        harness.end_attempt(d, Verdict::ConnectionLimit);
-        harness.handle_event(Event::Withdrawn(MessageId(d)));
+    for destination in 1..=8 {
+        harness.submit(destination, SAFE, destination);
+        harness.end_attempt(destination, Verdict::ConnectionLimit);
+        harness.handle_event(Event::Withdrawn(MessageId(destination)));
     }
     harness
 }
--- a/tests/record_class.rs
+++ b/tests/record_class.rs
@@ -1,4 +1,5 @@
-//! The class of a message in the log: kept to the bit, and read from logs of before it was kept.
+//! The settings of a message's class in the log: they are restored exactly, and logs from before they were
+//! recorded can still be read.
 
 use onyxrock::core::{AcceptedMessage, Record, RecordedClass, scan_log};
 use onyxrock::interface::{ClassSettings, DedupScope, Effect, Micros};
@@ -6,16 +7,16 @@
 
 const WINDOW: Micros = Micros(5_000_000);
 
-fn read_back(taken: &AcceptedMessage) -> Vec<Record> {
+fn write_and_read(message: &AcceptedMessage) -> Vec<Record> {
     let mut bytes = Vec::new();
-    Record::Accepted(taken.clone()).write(&mut bytes);
+    Record::Accepted(message.clone()).write(&mut bytes);
     let scan = scan_log(&bytes);
     assert_eq!(scan.damaged_bytes, 0);
     scan.records
 }
 
 #[rstest]
-fn a_class_is_read_as_it_was_written(
+fn class_is_read_from_the_log_as_it_was_written(
     #[values(
         Effect::Safe,
         Effect::Unsafe,
@@ -23,32 +24,26 @@
         Effect::Keyed { scope: DedupScope::Zone, window: WINDOW }
     )]
     effect: Effect,
-    #[values(false, true)] in_order: bool, #[values(0.0, 0.1, 3.0, f64::MAX)] worth: f64,
+    #[values(false, true)] in_order: bool, #[values(0.0, 0.1, 3.0, f64::MAX)] value: f64,
 ) {
-    let (aim, give_up) = (Micros(800_000), Micros(u64::MAX));
-    let class = ClassSettings {
-        target_latency: aim,
-        give_up_after: give_up,
-        effect,
-        in_order,
-        value: worth,
-        late_value_share: 0.3,
-    };
-    let class_then = Some(RecordedClass::from(&class));
-    assert_eq!(class_then.map(ClassSettings::from), Some(class));
-    let taken = AcceptedMessage {
+    let (target_latency, give_up_after) = (Micros(800_000), Micros(u64::MAX));
+    let class =
+        ClassSettings { target_latency, give_up_after, effect, in_order, value, late_value_share: 0.3 };
+    let recorded_class = Some(RecordedClass::from(&class));
+    assert_eq!(recorded_class.map(ClassSettings::from), Some(class));
+    let message = AcceptedMessage {
         number: 1,
         class: "a".into(),
-        recorded_class: class_then,
+        recorded_class,
         body: vec![7; 9],
         ..AcceptedMessage::default()
     };
-    assert_eq!(read_back(&taken), [Record::Accepted(taken)]);
+    assert_eq!(write_and_read(&message), [Record::Accepted(message)]);
 }
 
 #[test]
-fn a_log_of_before_it_was_kept_is_read() {
-    let taken =
+fn record_without_a_class_is_read() {
+    let message =
         AcceptedMessage { number: 1, class: "a".into(), body: vec![7; 9], ..AcceptedMessage::default() };
-    assert_eq!(read_back(&taken), [Record::Accepted(taken)]);
+    assert_eq!(write_and_read(&message), [Record::Accepted(message)]);
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -121,8 +121,8 @@
         for id in 10..60 {
             harness.submit(id, SAFE, 1);
             harness.advance(ms(100));
-            let out: Vec<_> = harness.in_flight.iter().map(|s| s.id).collect();
-            out.into_iter().for_each(|id| harness.end_attempt(id, Verdict::Delivered));
+            let ids: Vec<_> = harness.in_flight.iter().map(|s| s.id).collect();
+            ids.into_iter().for_each(|id| harness.end_attempt(id, Verdict::Delivered));
         }
         harness.sent.iter().filter(|s| s.id < 1000).map(|s| s.at).collect::<Vec<_>>()
     };
@@ -182,11 +182,11 @@
 fn failed_list_subscription_is_retried_within_the_poll_interval() {
     let mut harness = Harness::new(Settings { subscribe_to_list: true, ..settings() }, vec![]);
     assert_eq!(harness.list_requests, 1);
-    for n in 2..12 {
+    for requests in 2..12 {
         harness.handle_event(Event::ListFailed);
-        assert_eq!(harness.list_requests, n - 1, "the list is not requested at once");
+        assert_eq!(harness.list_requests, requests - 1, "the list is not requested at once");
         harness.advance(ms(9000));
-        assert_eq!(harness.list_requests, n);
+        assert_eq!(harness.list_requests, requests);
     }
     harness.handle_event(Event::ListChanges(vec![]));
     harness.advance(ms(30_000));
