--- a/tests/cold_ramp.rs
+++ b/tests/cold_ramp.rs
@@ -18,7 +18,7 @@
 
 /// A collapse breaks the rule if more than this share of the calls in its window came from senders that knew
 /// of the outage. Other collapses cannot be avoided.
-const BLAMED_SHARE: f64 = 2.0 / 3.0;
+const INFORMED_CALLS_SHARE: f64 = 2.0 / 3.0;
 
 /// The window with the largest part of the calls that make the destination collapse.
 struct WorstWindow {
@@ -45,7 +45,7 @@
             COLLAPSE_MULTIPLE * scenario.capacity_per_s() * capacity_share(middle) * COLLAPSE_WINDOW.secs();
         let collapse_at = budget + 2.0 * budget.sqrt() + 2.0;
         WorstWindow {
-            part: if informed > BLAMED_SHARE * count { count / collapse_at } else { 0.0 },
+            part: if informed > INFORMED_CALLS_SHARE * count { count / collapse_at } else { 0.0 },
             start: *start,
         }
     });
@@ -102,8 +102,8 @@
         let within = || calls[index..].iter().take_while(|call| call.at.since(first.at) < COLLAPSE_WINDOW);
         let count = within().count() as f64;
         let informed = within().filter(|call| call.after_failure).count() as f64;
-        let blamed = informed > BLAMED_SHARE * count;
-        if blamed { count / operators_bound(scenario, first.at.since(RETURNS_AT)) } else { 0.0 }
+        let mostly_informed = informed > INFORMED_CALLS_SHARE * count;
+        if mostly_informed { count / operators_bound(scenario, first.at.since(RETURNS_AT)) } else { 0.0 }
     });
     parts.fold(0.0, f64::max)
 }
--- a/tests/common/fleet/mod.rs
+++ b/tests/common/fleet/mod.rs
@@ -178,7 +178,7 @@
                 Action::SetTimer(span) => {
                     self.schedule(self.now.plus(span), ScheduledEvent::TimerFired(sender))
                 }
-                Action::Refuse { id, .. } | Action::Fail(id) => self.give_up(id),
+                Action::Refuse { id, .. } | Action::Fail(id) => self.end_undelivered(id),
                 Action::SendPeerHint(_) | Action::RequestList | Action::LogUnhealthy { .. } => {}
             }
         }
@@ -331,7 +331,7 @@
         );
     }
 
-    fn give_up(&mut self, id: MessageId) {
+    fn end_undelivered(&mut self, id: MessageId) {
         let Some(pending) = self.pending.remove(&id) else { return };
         let used_share =
             self.now.since(pending.arrived_at).secs() / self.scenario.deadline(pending.class).secs();
--- a/tests/fleet_restart.rs
+++ b/tests/fleet_restart.rs
@@ -87,6 +87,7 @@
     }
 }
 
+/// One sender: its ledger, its log and its attempts in flight.
 struct Sender {
     /// `None` while the sender is down.
     ledger: Option<Ledger>,
@@ -110,15 +111,16 @@
 }
 
 /// An accepted message: sender, class, deadline, and the reported ends.
-type SubmittedMessage = (usize, usize, Micros, Vec<(Micros, &'static str)>);
+type MessageHistory = (usize, usize, Micros, Vec<(Micros, &'static str)>);
 
+/// The senders, the receivers, the clock and all accepted messages.
 struct Fleet {
     deployment: Deployment,
     now: Micros,
     senders: Vec<Sender>,
     receivers: ReceiverState,
     /// All accepted messages.
-    accepted: BTreeMap<u64, SubmittedMessage>,
+    accepted: BTreeMap<u64, MessageHistory>,
     next_message: u64,
     /// Number of attempts that were in flight when their sender was killed.
     attempts_cut_off: usize,
