--- a/roster/src/active.rs
+++ b/roster/src/active.rs
@@ -1,72 +1,74 @@
-//! Which destinations are in use.
+//! The destinations in use, and which of them have been idle long enough to be deactivated.
 
 use hashbrown::HashMap;
 use onyxrock::interface::Micros;
 use std::collections::BTreeSet;
 
-/// Destinations in use, each with the time of its last use, and one heap of when to look whether one may rest. A use
-/// costs a look-up; a destination moves in the heap only when its time there has come.
+/// Destinations in use, each with the time of its last use, and one ordered set of idle checks. A use costs one look-up: a
+/// destination's idle check is moved only when it is due.
 #[derive(Debug, Default)]
 pub struct ActiveDestinations {
-    /// Unused so long, one may rest; never, where there is none.
-    rest: Option<Micros>,
-    used: HashMap<u64, Micros>,
-    looks: BTreeSet<(Micros, u64)>,
+    /// A destination that has been idle for this long may be deactivated. `None`: destinations stay active.
+    deactivate_after: Option<Micros>,
+    last_use: HashMap<u64, Micros>,
+    /// When to check a destination next; one check for each destination.
+    idle_checks: BTreeSet<(Micros, u64)>,
 }
 
 impl ActiveDestinations {
-    /// None is awake.
+    /// Creates an empty set of destinations.
     #[must_use]
-    pub fn new(rest: Option<Micros>) -> ActiveDestinations {
-        ActiveDestinations { rest, ..ActiveDestinations::default() }
+    pub fn new(deactivate_after: Option<Micros>) -> ActiveDestinations {
+        ActiveDestinations { deactivate_after, ..ActiveDestinations::default() }
     }
-    /// Destinations that are awake.
+    /// Number of active destinations.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.used.len()
+        self.last_use.len()
     }
-    /// None is.
+    /// Whether no destination is active.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.used.is_empty()
+        self.last_use.is_empty()
     }
-    /// This one is.
+    /// Whether this destination is active.
     #[must_use]
     pub fn contains(&self, destination: u64) -> bool {
-        self.used.contains_key(&destination)
+        self.last_use.contains_key(&destination)
     }
-    /// It is used now. True if it was at rest: the caller wakes it.
+    /// Records a use. Returns true if the destination was not active: the caller has to activate it.
     pub fn touch(&mut self, now: Micros, destination: u64) -> bool {
-        let woken = self.used.insert(destination, now).is_none();
-        if let Some(rest) = self.rest.filter(|_| woken) {
-            self.looks.insert((now.plus(rest), destination));
+        let activated = self.last_use.insert(destination, now).is_none();
+        if let Some(idle_time) = self.deactivate_after.filter(|_| activated) {
+            self.idle_checks.insert((now.plus(idle_time), destination));
         }
-        woken
+        activated
     }
-    /// One that has not been used for long enough. It is awake until the caller says [`Awake::rested`]; otherwise it is
-    /// asked for again after another rest.
+    /// Returns a destination that has been idle for long enough. The destination stays active until the caller calls
+    /// [`ActiveDestinations::deactivate`]; until then it is returned again after each further idle period.
     pub fn next_idle(&mut self, now: Micros) -> Option<u64> {
-        let rest = self.rest?;
-        while let Some((at, destination)) = self.looks.first().copied().filter(|l| l.0 <= now) {
-            self.looks.remove(&(at, destination));
-            let Some(used) = self.used.get(&destination) else { continue };
-            let due = used.plus(rest);
+        let idle_time = self.deactivate_after?;
+        while let Some((at, destination)) = self.idle_checks.first().copied().filter(|check| check.0 <= now) {
+            self.idle_checks.remove(&(at, destination));
+            let Some(last_use) = self.last_use.get(&destination) else { continue };
+            let due = last_use.plus(idle_time);
             if due <= now {
-                self.looks.insert((now.plus(rest), destination));
+                self.idle_checks.insert((now.plus(idle_time), destination));
                 return Some(destination);
             }
-            self.looks.insert((due, destination));
+            self.idle_checks.insert((due, destination));
         }
         None
     }
-    /// It has gone to rest.
+    /// Removes a destination that the caller has deactivated, at the time at which [`ActiveDestinations::next_idle`]
+    /// returned it.
     pub fn deactivate(&mut self, now: Micros, destination: u64) {
-        self.used.remove(&destination);
-        if let Some(rest) = self.rest {
-            self.looks.remove(&(now.plus(rest), destination));
+        self.last_use.remove(&destination);
+        if let Some(idle_time) = self.deactivate_after {
+            self.idle_checks.remove(&(now.plus(idle_time), destination));
         }
-        if self.used.len() * 4 < self.used.capacity() {
-            self.used.shrink_to(self.used.len() * 2);
+        if self.last_use.len() * 4 < self.last_use.capacity() {
+            self.last_use.shrink_to(self.last_use.len() * 2);
         }
     }
 }
@@ -76,26 +78,27 @@
     use super::*;
 
     #[test]
-    fn one_rests_after_its_last_use_and_stands_in_the_heap_once() {
-        let mut a = ActiveDestinations::new(Some(Micros(100)));
-        assert!(a.touch(Micros(0), 1) && !a.touch(Micros(60), 1) && a.touch(Micros(60), 2));
-        assert_eq!(a.next_idle(Micros(159)), None, "used at 60");
-        assert_eq!(a.looks.len(), 2);
-        let both = (a.next_idle(Micros(160)), a.next_idle(Micros(160)), a.next_idle(Micros(160)));
+    fn a_destination_is_idle_after_its_last_use_and_has_one_idle_check() {
+        let mut active = ActiveDestinations::new(Some(Micros(100)));
+        assert!(active.touch(Micros(0), 1) && !active.touch(Micros(60), 1) && active.touch(Micros(60), 2));
+        assert_eq!(active.next_idle(Micros(159)), None, "used at 60");
+        assert_eq!(active.idle_checks.len(), 2);
+        let both =
+            (active.next_idle(Micros(160)), active.next_idle(Micros(160)), active.next_idle(Micros(160)));
         assert_eq!(both, (Some(1), Some(2), None));
-        a.deactivate(Micros(160), 1);
-        assert!(!a.contains(1) && a.contains(2), "what cannot rest stays");
-        assert_eq!((a.next_idle(Micros(259)), a.next_idle(Micros(260))), (None, Some(2)));
-        a.deactivate(Micros(260), 2);
-        assert!(a.is_empty() && a.looks.is_empty());
-        assert!(a.touch(Micros(300), 1), "it wakes again");
+        active.deactivate(Micros(160), 1);
+        assert!(!active.contains(1) && active.contains(2), "a destination that is not deactivated stays");
+        assert_eq!((active.next_idle(Micros(259)), active.next_idle(Micros(260))), (None, Some(2)));
+        active.deactivate(Micros(260), 2);
+        assert!(active.is_empty() && active.idle_checks.is_empty());
+        assert!(active.touch(Micros(300), 1), "activated again");
     }
 
     #[test]
-    fn without_a_rest_what_is_awake_stays_so() {
-        let mut a = ActiveDestinations::new(None);
-        assert!(a.touch(Micros(0), 1));
-        assert_eq!(a.next_idle(Micros(u64::MAX)), None);
-        assert!(a.looks.is_empty());
+    fn without_an_idle_time_destinations_stay_active() {
+        let mut active = ActiveDestinations::new(None);
+        assert!(active.touch(Micros(0), 1));
+        assert_eq!(active.next_idle(Micros(u64::MAX)), None);
+        assert!(active.idle_checks.is_empty());
     }
 }
--- a/roster/src/directory.rs
+++ b/roster/src/directory.rs
@@ -1,4 +1,4 @@
-//! Which endpoints are listed, which of them are in use, and what is to be done about a change.
+//! The directory of endpoints: which are listed, which are in use, and what a change of the list means for the latter.
 
 use crate::active::ActiveDestinations;
 use crate::health_store::{HealthDecay, HealthKey, HealthStore};
@@ -10,253 +10,260 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// An endpoint that is gone is kept so long for calls that come late.
-const PEER_REST: Micros = Micros(3_000_000);
-/// The module forgets an endpoint a minute after it was last used; its number and its destination are kept longer.
-const FORGET: Micros = Micros(75_000_000);
+/// An active endpoint that is gone is kept for this long (3 s), for calls that are still to be written or to end.
+const GONE_ENDPOINT_RETENTION: Micros = Micros(3_000_000);
 
-/// Destinations that have left the list and are known to have, at most; and those of them that are in use.
-const LEFT_MOST: usize = 16_384;
+/// How long the receiver id of a released endpoint, and a destination that was removed from the list, are remembered
+/// (75 s). The core forgets an endpoint one minute after its last use; both are kept longer than that.
+const REMOVED_NAME_RETENTION: Micros = Micros(75_000_000);
 
-/// What a directory is made with.
+/// Bound on the remembered destinations that have left the list. Those that are still active are kept beyond it.
+const MAX_REMOVED_DESTINATIONS: usize = 16_384;
+
+/// Parameters of a [`Directory`].
 #[derive(Clone, Debug)]
 pub struct DirectorySettings {
-    /// Endpoints that the list may name; while one whole list follows another, both are held.
+    /// Bound on the endpoints that the list may name. While one complete list replaces another, both are held.
     pub max_endpoints: usize,
-    /// Unused so long, a destination may rest; never, where there is none.
+    /// A destination that has been idle for this long may be deactivated. `None`: destinations stay active.
     pub deactivate_after: Option<Micros>,
-    /// How what was learned ages.
+    /// How the stored health of deactivated destinations and endpoints ages.
     pub health_decay: HealthDecay,
-    /// Numbers of zones by name.
+    /// Zone ids by name.
     pub zones: BTreeMap<String, usize>,
 }
 
 /// An endpoint in use.
 #[derive(Clone, PartialEq, Debug)]
 pub struct ActiveEndpoint {
-    /// Its name, by which other processes know it.
+    /// Name of the endpoint, by which other processes know it.
     pub name: String,
-    /// Its zone.
+    /// Zone of the endpoint.
     pub zone: String,
-    /// Its destination.
+    /// Destination that the endpoint serves.
     pub destination: u64,
-    /// Where it is.
+    /// Current address.
     pub address: SocketAddr,
-    /// When the list, or an operator, told that it drains or is gone.
+    /// When the list or an operator marked the endpoint as draining or gone.
     pub draining_since: Option<Micros>,
-    /// The list does not name it any more, or as gone.
+    /// The list no longer names the endpoint, or names it as gone.
     pub(crate) gone: bool,
-    /// No list names it, and it stays.
+    /// The endpoint is configured (a gateway): no list names it, and no list removes it.
     pub(crate) fixed: bool,
-    /// Calls that it has and has not told the end of.
+    /// Calls that were started and have not been reported as ended.
     pub calls_in_flight: usize,
-    /// It told that nothing may go there before.
+    /// End of the latest retry-after of the endpoint: no call may be sent before.
     wait_until: Micros,
 }
 
-/// Something for the caller to carry out at an endpoint.
+/// A command that the caller carries out for an endpoint.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum EndpointCommand {
-    /// It comes into use.
+    /// The endpoint comes into use at this address.
     Open(ReceiverId, SocketAddr),
-    /// Nothing new will go there: close the connections that are idle.
+    /// No new call will be sent to the endpoint: close its idle connections.
     CloseIdle(ReceiverId),
-    /// It has another address now.
+    /// The endpoint has this address now.
     AddressChanged(ReceiverId, SocketAddr),
-    /// It is in use no more, and nothing is out there.
+    /// The endpoint is no longer in use and has no call in flight.
     Close(ReceiverId),
 }
 
-/// What follows from a change: orders for the endpoints in use, and what the module is told of them.
+/// What follows from a change: commands for the endpoints in use, and updates for the core.
 #[derive(Clone, Debug, Default)]
 pub struct DirectoryOutput {
-    /// In the order in which they are to be carried out.
+    /// Commands, in the order in which they are to be carried out.
     pub commands: Vec<EndpointCommand>,
-    /// Changed lines of the list.
+    /// Changed list entries of endpoints in use.
     pub entries: Vec<ListEntry>,
-    /// What is still known of those among them that come into use.
+    /// Retained health of those in `entries` that come into use.
     pub restored_health: Vec<(ReceiverId, RetainedHealth)>,
-    /// Those among them that operators have put back: they were restarted, and are cold.
+    /// Those in `entries` that operators have put back into use: they were restarted, and start cold.
     pub restarted: Vec<ReceiverId>,
 }
 
-/// What is known of a destination that wakes.
+/// Retained health of a destination that becomes active, and of its endpoints.
 #[derive(Clone, Debug, Default)]
 pub struct ActivatedDestination {
-    /// Of itself.
+    /// Health of the destination as a whole.
     pub health: RetainedHealth,
-    /// Its endpoints, and what is known of each.
+    /// List entry and health of each of its endpoints.
     pub endpoints: Vec<(ListEntry, RetainedHealth)>,
 }
 
-/// Whether something may be taken on for a destination.
+/// Whether a message for a destination may be accepted.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum DestinationStatus {
-    /// It is listed, or in use.
+    /// The destination is listed or active.
     Known,
-    /// No list has ever been had.
+    /// No list has been received yet.
     NoList,
-    /// The list does not name it any more, as of late: it may come back.
+    /// The list stopped naming the destination a short time ago: it may come back.
     RecentlyRemoved,
-    /// No list has named it.
+    /// The list does not name the destination, and did not recently.
     Unknown,
 }
 
-/// All endpoints: the listed in a [`Roster`], those in use as [`Peer`]s with numbers that the module knows.
+/// All endpoints: the listed ones in an [`EndpointTable`], and those in use as [`ActiveEndpoint`]s with the receiver ids
+/// that the core knows.
 #[derive(Debug)]
 pub struct Directory {
-    rules: DirectorySettings,
-    pub(crate) roster: EndpointTable,
-    awake: ActiveDestinations,
-    memories: HealthStore,
-    pub(crate) peers: BTreeMap<ReceiverId, ActiveEndpoint>,
-    /// Numbers by name. One that is gone keeps its number for a while: the module still knows of waits there.
-    pub(crate) numbers: HashMap<String, ReceiverId>,
-    /// Endpoints that operators have taken out of use, by name: they count as draining, whatever the list says.
+    settings: DirectorySettings,
+    pub(crate) table: EndpointTable,
+    active_destinations: ActiveDestinations,
+    health_store: HealthStore,
+    pub(crate) active_endpoints: BTreeMap<ReceiverId, ActiveEndpoint>,
+    /// Receiver ids by endpoint name. An endpoint that is gone keeps its id for a while, because the core still holds
+    /// retry-afters under it.
+    pub(crate) receiver_ids: HashMap<String, ReceiverId>,
+    /// Names of endpoints that operators have taken out of use: they count as draining, whatever the list says.
     pub(crate) maintenance: BTreeSet<String>,
-    /// Endpoints that drain by a list which another process of this forwarder has had, and its version.
-    pub(crate) drained_elsewhere: BTreeMap<String, u64>,
-    /// What is told of the endpoints that no list names.
+    /// Endpoints that drain by a list that another process of this forwarder has received, with its generation.
+    pub(crate) sibling_drains: BTreeMap<String, u64>,
+    /// List entries that the core has been given for the fixed endpoints.
     pub(crate) fixed_entries: BTreeMap<ReceiverId, ListEntry>,
-    last: u64,
-    /// Those that are gone, and when to look whether they can be let go.
-    leaving: BTreeSet<(Micros, ReceiverId)>,
-    forget: BTreeSet<(Micros, String)>,
-    /// Destinations that have left the list, and until when that is known.
-    left: HashMap<u64, Micros>,
-    left_order: VecDeque<(Micros, u64)>,
-    /// Destinations of endpoints that no list names.
-    fixed: BTreeSet<u64>,
-    had_list: bool,
-    /// A whole list is being taken.
-    whole: bool,
+    last_receiver_id: u64,
+    /// Active endpoints that are gone, with the time of the next check whether they can be released.
+    release_checks: BTreeSet<(Micros, ReceiverId)>,
+    /// Names of released endpoints, with the time at which their receiver ids are forgotten.
+    receiver_id_expiry: BTreeSet<(Micros, String)>,
+    /// Destinations that have left the list, with the time until which that is remembered.
+    removed_destinations: HashMap<u64, Micros>,
+    /// The entries of `removed_destinations` in the order of their times; entries that were replaced or removed there
+    /// are skipped.
+    removed_order: VecDeque<(Micros, u64)>,
+    /// Destinations of the fixed endpoints.
+    fixed_destinations: BTreeSet<u64>,
+    has_received_list: bool,
+    /// A complete list is being applied.
+    applying_complete_list: bool,
 }
 
 impl Directory {
-    /// An empty one.
+    /// Creates an empty directory.
     #[must_use]
-    pub fn new(rules: DirectorySettings) -> Directory {
+    pub fn new(settings: DirectorySettings) -> Directory {
         Directory {
-            // A whole list is taken before what it does not name goes.
-            roster: EndpointTable::new(rules.max_endpoints.saturating_mul(2)),
-            awake: ActiveDestinations::new(rules.deactivate_after),
-            memories: HealthStore::new(rules.health_decay),
-            peers: BTreeMap::new(),
-            numbers: HashMap::new(),
+            // A complete list is added before the endpoints that it does not name are removed.
+            table: EndpointTable::new(settings.max_endpoints.saturating_mul(2)),
+            active_destinations: ActiveDestinations::new(settings.deactivate_after),
+            health_store: HealthStore::new(settings.health_decay),
+            active_endpoints: BTreeMap::new(),
+            receiver_ids: HashMap::new(),
             maintenance: BTreeSet::new(),
-            drained_elsewhere: BTreeMap::new(),
+            sibling_drains: BTreeMap::new(),
             fixed_entries: BTreeMap::new(),
-            last: 0,
-            leaving: BTreeSet::new(),
-            forget: BTreeSet::new(),
-            left: HashMap::new(),
-            left_order: VecDeque::new(),
-            fixed: BTreeSet::new(),
-            had_list: false,
-            whole: false,
-            rules,
+            last_receiver_id: 0,
+            release_checks: BTreeSet::new(),
+            receiver_id_expiry: BTreeSet::new(),
+            removed_destinations: HashMap::new(),
+            removed_order: VecDeque::new(),
+            fixed_destinations: BTreeSet::new(),
+            has_received_list: false,
+            applying_complete_list: false,
+            settings,
         }
     }
 
-    /// Endpoints that the list names.
+    /// Number of endpoints that the list names.
     #[must_use]
     pub fn listed_endpoint_count(&self) -> usize {
-        self.roster.len()
+        self.table.len()
     }
-    /// Destinations that are in use.
+    /// Number of destinations in use.
     #[must_use]
     pub fn active_destination_count(&self) -> usize {
-        self.awake.len()
+        self.active_destinations.len()
     }
-    /// Endpoints that are in use.
+    /// Endpoints in use.
     #[must_use]
     pub fn active_endpoints(&self) -> &BTreeMap<ReceiverId, ActiveEndpoint> {
-        &self.peers
+        &self.active_endpoints
     }
-    /// One of them.
+    /// The endpoint in use with this receiver id.
     #[must_use]
-    pub fn active_endpoint(&self, to: ReceiverId) -> Option<&ActiveEndpoint> {
-        self.peers.get(&to)
+    pub fn active_endpoint(&self, receiver: ReceiverId) -> Option<&ActiveEndpoint> {
+        self.active_endpoints.get(&receiver)
     }
-    /// The number of one that is in use, or was a moment ago.
+    /// The receiver id of an endpoint that is in use or was released a short time ago.
     #[must_use]
     pub fn receiver_id(&self, name: &str) -> Option<ReceiverId> {
-        self.numbers.get(name).copied()
+        self.receiver_ids.get(name).copied()
     }
     /// The destination of an endpoint that the list names.
     #[must_use]
     pub fn destination_of(&self, name: &str) -> Option<u64> {
-        Some(self.roster.get(self.roster.find(name)?)?.destination)
+        Some(self.table.get(self.table.find(name)?)?.destination)
     }
-    /// What is kept of those at rest.
+    /// Stored health of deactivated destinations and their endpoints.
     #[must_use]
     pub fn health_store(&self) -> &HealthStore {
-        &self.memories
+        &self.health_store
     }
-    /// The same, to put back what an earlier process kept.
+    /// Mutable access to the stored health, to restore what an earlier process saved.
     pub fn health_store_mut(&mut self) -> &mut HealthStore {
-        &mut self.memories
+        &mut self.health_store
     }
-    /// A list has been had.
+    /// Whether a list has been received.
     #[must_use]
     pub fn has_received_list(&self) -> bool {
-        self.had_list
+        self.has_received_list
     }
 
-    /// Whether something may be taken on for a destination.
+    /// Whether a message for a destination may be accepted.
     #[must_use]
     pub fn destination_status(&self, now: Micros, destination: u64) -> DestinationStatus {
-        if self.roster.has_destination(destination) || self.awake.contains(destination) {
+        if self.table.has_destination(destination) || self.active_destinations.contains(destination) {
             DestinationStatus::Known
-        } else if !self.had_list {
+        } else if !self.has_received_list {
             DestinationStatus::NoList
-        } else if self.left.get(&destination).is_some_and(|until| *until > now) {
+        } else if self.removed_destinations.get(&destination).is_some_and(|until| *until > now) {
             DestinationStatus::RecentlyRemoved
         } else {
             DestinationStatus::Unknown
         }
     }
 
-    /// A call goes to an endpoint.
-    pub fn call_started(&mut self, to: ReceiverId) {
-        if let Some(p) = self.peers.get_mut(&to) {
-            p.calls_in_flight += 1;
+    /// Records that a call to an endpoint has started.
+    pub fn call_started(&mut self, receiver: ReceiverId) {
+        if let Some(endpoint) = self.active_endpoints.get_mut(&receiver) {
+            endpoint.calls_in_flight += 1;
         }
     }
-    /// A call there has ended.
-    pub fn call_ended(&mut self, to: ReceiverId) {
-        if let Some(p) = self.peers.get_mut(&to) {
-            p.calls_in_flight = p.calls_in_flight.saturating_sub(1);
+    /// Records that a call to an endpoint has ended.
+    pub fn call_ended(&mut self, receiver: ReceiverId) {
+        if let Some(endpoint) = self.active_endpoints.get_mut(&receiver) {
+            endpoint.calls_in_flight = endpoint.calls_in_flight.saturating_sub(1);
         }
     }
 
-    /// An endpoint told that nothing may go there before: its name is known by the same number until then.
-    pub fn on_retry_after(&mut self, to: ReceiverId, until: Micros) {
-        if let Some(p) = self.peers.get_mut(&to) {
-            p.wait_until = p.wait_until.max(until);
+    /// Records a retry-after of an endpoint. Until it ends the endpoint's name keeps its receiver id.
+    pub fn on_retry_after(&mut self, receiver: ReceiverId, until: Micros) {
+        if let Some(endpoint) = self.active_endpoints.get_mut(&receiver) {
+            endpoint.wait_until = endpoint.wait_until.max(until);
         }
     }
 
-    /// Endpoints in use that told a wait which is not over, and until when.
+    /// Names of endpoints in use whose retry-after has not ended, and when it ends.
     pub fn pending_retry_afters(&self, now: Micros) -> impl Iterator<Item = (&str, Micros)> {
-        let waits = self.peers.values().filter(move |p| p.wait_until > now && !p.fixed);
-        waits.map(|p| (p.name.as_str(), p.wait_until))
+        let waits = self.active_endpoints.values().filter(move |e| e.wait_until > now && !e.fixed);
+        waits.map(|e| (e.name.as_str(), e.wait_until))
     }
 
-    fn number(&mut self) -> ReceiverId {
-        self.last += 1;
-        ReceiverId(self.last)
+    fn allocate_receiver_id(&mut self) -> ReceiverId {
+        self.last_receiver_id += 1;
+        ReceiverId(self.last_receiver_id)
     }
 
-    /// An endpoint that no list names and that stays in use.
-    pub fn add_fixed(&mut self, now: Micros, e: &Endpoint<'_>) -> (ReceiverId, ListEntry) {
-        let to = self.number();
-        self.awake.touch(now, e.destination);
-        self.fixed.insert(e.destination);
-        let (name, zone) = (e.name.to_owned(), e.zone.to_owned());
-        self.numbers.insert(format!("gateway {name}"), to);
-        let (destination, address) = (e.destination, e.address);
-        let peer = ActiveEndpoint {
+    /// Adds an endpoint that no list names and that stays in use.
+    pub fn add_fixed(&mut self, now: Micros, endpoint: &Endpoint<'_>) -> (ReceiverId, ListEntry) {
+        let receiver = self.allocate_receiver_id();
+        self.active_destinations.touch(now, endpoint.destination);
+        self.fixed_destinations.insert(endpoint.destination);
+        let (name, zone) = (endpoint.name.to_owned(), endpoint.zone.to_owned());
+        self.receiver_ids.insert(format!("gateway {name}"), receiver);
+        let (destination, address) = (endpoint.destination, endpoint.address);
+        let active = ActiveEndpoint {
             name,
             zone,
             destination,
@@ -267,295 +274,315 @@
             calls_in_flight: 0,
             wait_until: Micros(0),
         };
-        self.peers.insert(to, peer);
-        let entry = self.entry(to, e);
-        self.fixed_entries.insert(to, entry.clone());
-        (to, entry)
+        self.active_endpoints.insert(receiver, active);
+        let entry = self.list_entry(receiver, endpoint);
+        self.fixed_entries.insert(receiver, entry.clone());
+        (receiver, entry)
     }
 
-    /// This one stays, whatever the list says.
+    /// Whether the endpoint stays in use whatever the list says.
     #[must_use]
-    pub fn is_fixed(&self, to: ReceiverId) -> bool {
-        self.peers.get(&to).is_some_and(|p| p.fixed)
+    pub fn is_fixed(&self, receiver: ReceiverId) -> bool {
+        self.active_endpoints.get(&receiver).is_some_and(|e| e.fixed)
     }
 
-    /// What the module is told of an endpoint: one that is ready and in maintenance, or drains elsewhere, drains.
-    pub(crate) fn entry(&self, receiver: ReceiverId, e: &Endpoint<'_>) -> ListEntry {
-        let held_out = e.state == EntryState::Ready
-            && (self.maintenance.contains(e.name) || self.drained_elsewhere.contains_key(e.name));
+    /// The list entry of an endpoint as the core is given it. An endpoint that the list has as ready counts as draining
+    /// while it is in maintenance, or drains by the list of another process.
+    pub(crate) fn list_entry(&self, receiver: ReceiverId, endpoint: &Endpoint<'_>) -> ListEntry {
+        let held_out = endpoint.state == EntryState::Ready
+            && (self.maintenance.contains(endpoint.name) || self.sibling_drains.contains_key(endpoint.name));
         ListEntry {
             receiver,
-            state: if held_out { EntryState::Draining } else { e.state },
-            destination: DestinationId(e.destination),
-            kind: KindId(if e.kind == u16::MAX { usize::MAX } else { usize::from(e.kind) }),
-            zone: ZoneId(self.rules.zones.get(e.zone).copied().unwrap_or(usize::MAX)),
-            weight: f64::from(e.weight),
+            state: if held_out { EntryState::Draining } else { endpoint.state },
+            destination: DestinationId(endpoint.destination),
+            kind: KindId(if endpoint.kind == u16::MAX { usize::MAX } else { usize::from(endpoint.kind) }),
+            zone: ZoneId(self.settings.zones.get(endpoint.zone).copied().unwrap_or(usize::MAX)),
+            weight: f64::from(endpoint.weight),
         }
     }
 
-    /// A destination is used. What is known of it, if it was at rest.
+    /// Records a use of a destination. If that makes the destination active, returns its retained health.
     pub fn touch(
-        &mut self, now: Micros, destination: u64, follows: &mut DirectoryOutput,
+        &mut self, now: Micros, destination: u64, output: &mut DirectoryOutput,
     ) -> Option<ActivatedDestination> {
-        if !self.awake.touch(now, destination) {
+        if !self.active_destinations.touch(now, destination) {
             return None;
         }
-        let whole = self.memories.take(now, &HealthKey::Destination(destination));
-        let ids: Vec<_> = self.roster.endpoints_of(destination).collect();
-        let each = ids.into_iter().filter_map(|id| self.rouse(now, id, follows)).collect();
-        Some(ActivatedDestination { health: whole, endpoints: each })
+        let health = self.health_store.take(now, &HealthKey::Destination(destination));
+        let ids: Vec<_> = self.table.endpoints_of(destination).collect();
+        let endpoints = ids.into_iter().filter_map(|id| self.activate_endpoint(now, id, output)).collect();
+        Some(ActivatedDestination { health, endpoints })
     }
 
-    /// Brings an endpoint into use.
-    fn rouse(
-        &mut self, now: Micros, id: RosterId, follows: &mut DirectoryOutput,
+    /// Brings a listed endpoint into use.
+    fn activate_endpoint(
+        &mut self, now: Micros, id: RosterId, output: &mut DirectoryOutput,
     ) -> Option<(ListEntry, RetainedHealth)> {
-        let e = self.roster.get(id)?;
-        let known = self.numbers.get(e.name).copied();
-        let to = known.unwrap_or(ReceiverId(self.last + 1));
-        let entry = self.entry(to, &e);
-        // One that drained meanwhile has no time left in which a call might go.
-        let drains = (entry.state != EntryState::Ready).then_some(Micros(0));
-        let (name, zone) = (e.name.to_owned(), e.zone.to_owned());
-        let (destination, address) = (e.destination, e.address);
-        let peer = ActiveEndpoint {
+        let listed = self.table.get(id)?;
+        let known = self.receiver_ids.get(listed.name).copied();
+        let receiver = known.unwrap_or(ReceiverId(self.last_receiver_id + 1));
+        let entry = self.list_entry(receiver, &listed);
+        // The drain of an endpoint that drains already counts from time 0: no time is left in which a call may be sent.
+        let draining_since = (entry.state != EntryState::Ready).then_some(Micros(0));
+        let (name, zone) = (listed.name.to_owned(), listed.zone.to_owned());
+        let (destination, address) = (listed.destination, listed.address);
+        let active = ActiveEndpoint {
             name: name.clone(),
             zone,
             destination,
             address,
-            draining_since: drains,
+            draining_since,
             gone: false,
             fixed: false,
             calls_in_flight: 0,
             wait_until: Micros(0),
         };
         if known.is_none() {
-            self.last += 1;
-            self.numbers.insert(name.clone(), to);
+            self.last_receiver_id += 1;
+            self.receiver_ids.insert(name.clone(), receiver);
         }
-        match self.peers.get_mut(&to) {
-            // It had not been let go yet.
-            Some(p) => {
-                if p.address != address {
-                    follows.commands.push(EndpointCommand::AddressChanged(to, address));
+        match self.active_endpoints.get_mut(&receiver) {
+            // The endpoint was gone and has not been released yet.
+            Some(previous) => {
+                if previous.address != address {
+                    output.commands.push(EndpointCommand::AddressChanged(receiver, address));
                 }
-                *p = ActiveEndpoint { calls_in_flight: p.calls_in_flight, wait_until: p.wait_until, ..peer };
+                *previous = ActiveEndpoint {
+                    calls_in_flight: previous.calls_in_flight,
+                    wait_until: previous.wait_until,
+                    ..active
+                };
             }
             None => {
-                self.peers.insert(to, peer);
-                follows.commands.push(EndpointCommand::Open(to, address));
+                self.active_endpoints.insert(receiver, active);
+                output.commands.push(EndpointCommand::Open(receiver, address));
             }
         }
-        Some((entry, self.memories.take(now, &HealthKey::Endpoint(name.into()))))
+        Some((entry, self.health_store.take(now, &HealthKey::Endpoint(name.into()))))
     }
 
-    /// A whole list follows.
+    /// Begins a complete list: its entries follow by [`Directory::put`].
     pub fn begin_complete_list(&mut self) {
-        self.whole = true;
-        self.roster.begin_complete_list();
+        self.applying_complete_list = true;
+        self.table.begin_complete_list();
     }
 
-    /// Takes an entry of the list.
+    /// Applies an entry of the list.
     ///
     /// # Errors
-    /// [`Refused`]: it has no place; all else is as before.
+    /// [`EntryError`]: the entry does not fit; the directory is unchanged.
     pub fn put(
-        &mut self, now: Micros, e: Endpoint<'_>, follows: &mut DirectoryOutput,
+        &mut self, now: Micros, endpoint: Endpoint<'_>, output: &mut DirectoryOutput,
     ) -> Result<(), EntryError> {
-        if !self.whole && self.roster.len() >= self.rules.max_endpoints && self.roster.find(e.name).is_none()
+        if !self.applying_complete_list
+            && self.table.len() >= self.settings.max_endpoints
+            && self.table.find(endpoint.name).is_none()
         {
             return Err(EntryError::Full);
         }
-        if let Some(change) = self.roster.put(e)? {
-            self.changed(now, change, follows);
+        if let Some(change) = self.table.put(endpoint)? {
+            self.apply_change(now, change, output);
         }
         Ok(())
     }
 
-    /// The entries have ended: looks at so many of those that are held for what a whole list did not name. True once
-    /// all have been looked at.
-    pub fn sweep(&mut self, now: Micros, most: usize, follows: &mut DirectoryOutput) -> bool {
+    /// Called after the last entry of a complete list. Checks up to `max_records` records for endpoints that the list
+    /// did not name, which are gone. Returns true once all records have been checked.
+    pub fn sweep(&mut self, now: Micros, max_records: usize, output: &mut DirectoryOutput) -> bool {
         let mut gone = Vec::new();
-        let done = self.roster.sweep(most, &mut gone);
-        self.whole &= !done;
+        let done = self.table.sweep(max_records, &mut gone);
+        self.applying_complete_list &= !done;
         for change in gone {
-            self.changed(now, change, follows);
+            self.apply_change(now, change, output);
         }
         done
     }
 
-    /// A list has been taken to its end.
+    /// Records that a list has been applied to its end.
     pub fn finish_list(&mut self) {
-        self.had_list = true;
+        self.has_received_list = true;
     }
 
-    fn changed(&mut self, now: Micros, change: Change, follows: &mut DirectoryOutput) {
+    /// Applies a change of the table to the endpoint in use under the same name, if there is one.
+    fn apply_change(&mut self, now: Micros, change: Change, output: &mut DirectoryOutput) {
         let (Change::Added(id) | Change::Changed(id) | Change::Gone(id)) = change;
-        let Some(e) = self.roster.get(id) else { return };
-        let (destination, to) = (e.destination, self.numbers.get(e.name).copied());
-        let peer = to.and_then(|to| Some((to, self.peers.get(&to)?)));
-        match (change, peer) {
-            // What the module knows of it belongs to the destination that it had.
-            (_, Some((to, p))) if p.destination != destination && !p.fixed => {
-                let (before, name) = (p.destination, p.name.clone());
-                // All but its wait, which was told by whoever is there.
-                let wait = RetainedHealth { wait_until: p.wait_until, ..RetainedHealth::default() };
-                self.memories.store(now, HealthKey::Endpoint(name.as_str().into()), wait);
-                self.leave(now, to, follows);
-                self.numbers.remove(&name);
-                if !self.roster.has_destination(before) {
-                    self.departs(now, before);
+        let Some(listed) = self.table.get(id) else { return };
+        let (destination, receiver) = (listed.destination, self.receiver_ids.get(listed.name).copied());
+        let in_use = receiver.and_then(|receiver| Some((receiver, self.active_endpoints.get(&receiver)?)));
+        match (change, in_use) {
+            // The endpoint has moved to another destination. What the core knows of it belongs to the previous one.
+            (_, Some((receiver, active))) if active.destination != destination && !active.fixed => {
+                let (previous, name) = (active.destination, active.name.clone());
+                // Only the retry-after is kept, because the endpoint itself sent it.
+                let wait = RetainedHealth { wait_until: active.wait_until, ..RetainedHealth::default() };
+                self.health_store.store(now, HealthKey::Endpoint(name.as_str().into()), wait);
+                self.mark_gone(now, receiver, output);
+                self.receiver_ids.remove(&name);
+                if !self.table.has_destination(previous) {
+                    self.remember_removed_destination(now, previous);
                 }
                 if change == Change::Gone(id) {
-                    self.roster.remove(id);
+                    self.table.remove(id);
                 } else {
-                    self.added(now, id, destination, follows);
+                    self.on_added(now, id, destination, output);
                 }
             }
-            (Change::Gone(_), peer) => {
-                let to = peer.map(|(to, _)| to);
-                self.roster.remove(id);
-                if let Some(to) = to {
-                    self.leave(now, to, follows);
+            (Change::Gone(_), in_use) => {
+                let receiver = in_use.map(|(receiver, _)| receiver);
+                self.table.remove(id);
+                if let Some(receiver) = receiver {
+                    self.mark_gone(now, receiver, output);
                 }
-                if !self.roster.has_destination(destination) {
-                    self.departs(now, destination);
+                if !self.table.has_destination(destination) {
+                    self.remember_removed_destination(now, destination);
                 }
             }
-            (Change::Changed(_), Some((to, p))) if !p.gone => {
-                let entry = self.entry(to, &e);
-                let (address, zone) = (e.address, e.zone.to_owned());
-                let Some(p) = self.peers.get_mut(&to) else { return };
-                if p.address != address {
-                    p.address = address;
-                    follows.commands.push(EndpointCommand::AddressChanged(to, address));
+            (Change::Changed(_), Some((receiver, active))) if !active.gone => {
+                let entry = self.list_entry(receiver, &listed);
+                let (address, zone) = (listed.address, listed.zone.to_owned());
+                let Some(active) = self.active_endpoints.get_mut(&receiver) else { return };
+                if active.address != address {
+                    active.address = address;
+                    output.commands.push(EndpointCommand::AddressChanged(receiver, address));
                 }
-                p.zone = zone;
-                p.draining_since =
-                    if entry.state == EntryState::Ready { None } else { p.draining_since.or(Some(now)) };
-                follows.entries.push(entry);
+                active.zone = zone;
+                active.draining_since =
+                    if entry.state == EntryState::Ready { None } else { active.draining_since.or(Some(now)) };
+                output.entries.push(entry);
             }
-            _ => self.added(now, id, destination, follows),
+            _ => self.on_added(now, id, destination, output),
         }
     }
 
-    /// It is new to a destination: brought into use if that is.
-    fn added(&mut self, now: Micros, id: RosterId, destination: u64, follows: &mut DirectoryOutput) {
-        self.left.remove(&destination);
-        if self.awake.contains(destination)
-            && let Some((entry, repute)) = self.rouse(now, id, follows)
+    /// Handles an endpoint that is new to its destination: it comes into use if the destination is active.
+    fn on_added(&mut self, now: Micros, id: RosterId, destination: u64, output: &mut DirectoryOutput) {
+        self.removed_destinations.remove(&destination);
+        if self.active_destinations.contains(destination)
+            && let Some((entry, health)) = self.activate_endpoint(now, id, output)
         {
-            // A route may come back under its name while others of its destination are in use.
-            if repute != RetainedHealth::default() {
-                follows.restored_health.push((entry.receiver, repute));
+            // A route may come back under its name while other endpoints of its destination are in use.
+            if health != RetainedHealth::default() {
+                output.restored_health.push((entry.receiver, health));
             }
-            follows.entries.push(entry);
+            output.entries.push(entry);
         }
     }
 
-    /// An endpoint in use is gone.
-    fn leave(&mut self, now: Micros, to: ReceiverId, follows: &mut DirectoryOutput) {
-        let Some(p) = self.peers.get_mut(&to).filter(|p| !p.gone && !p.fixed) else { return };
-        p.draining_since.get_or_insert(now);
-        p.gone = true;
-        follows.commands.push(EndpointCommand::CloseIdle(to));
-        follows.entries.push(ListEntry {
-            receiver: to,
+    /// Marks an endpoint in use as gone, and schedules its release.
+    fn mark_gone(&mut self, now: Micros, receiver: ReceiverId, output: &mut DirectoryOutput) {
+        let Some(active) = self.active_endpoints.get_mut(&receiver).filter(|e| !e.gone && !e.fixed) else {
+            return;
+        };
+        active.draining_since.get_or_insert(now);
+        active.gone = true;
+        output.commands.push(EndpointCommand::CloseIdle(receiver));
+        output.entries.push(ListEntry {
+            receiver,
             state: EntryState::Gone,
-            destination: DestinationId(p.destination),
+            destination: DestinationId(active.destination),
             kind: KindId(usize::MAX),
             zone: ZoneId(usize::MAX),
             weight: 0.0,
         });
-        self.leaving.insert((now.plus(PEER_REST), to));
-    }
-
-    /// The last endpoint of a destination has left the list.
-    fn departs(&mut self, now: Micros, destination: u64) {
-        let until = now.plus(FORGET);
-        self.left.insert(destination, until);
-        self.left_order.push_back((until, destination));
-        // Of many that go at once the first are known no more; those in use stay until they rest.
-        let mut looks = self.left_order.len().saturating_sub(LEFT_MOST).min(2);
-        while looks > 0
-            && let Some((until, destination)) = self.left_order.pop_front()
+        self.release_checks.insert((now.plus(GONE_ENDPOINT_RETENTION), receiver));
+    }
+
+    /// Remembers a destination whose last endpoint has left the list.
+    fn remember_removed_destination(&mut self, now: Micros, destination: u64) {
+        let until = now.plus(REMOVED_NAME_RETENTION);
+        self.removed_destinations.insert(destination, until);
+        self.removed_order.push_back((until, destination));
+        // Over the bound the oldest are forgotten first; active destinations are kept until they are deactivated.
+        let mut checks = self.removed_order.len().saturating_sub(MAX_REMOVED_DESTINATIONS).min(2);
+        while checks > 0
+            && let Some((until, destination)) = self.removed_order.pop_front()
         {
-            looks -= 1;
-            if self.awake.contains(destination) {
-                self.left_order.push_back((until, destination));
-            } else if self.left.get(&destination) == Some(&until) {
-                self.left.remove(&destination);
+            checks -= 1;
+            if self.active_destinations.contains(destination) {
+                self.removed_order.push_back((until, destination));
+            } else if self.removed_destinations.get(&destination) == Some(&until) {
+                self.removed_destinations.remove(&destination);
             }
         }
     }
 
-    /// Lets go of endpoints that are gone: of the endpoint once nothing is out there and no call may still ask whether
-    /// it may be written, of the number once the module has forgotten it too.
-    pub fn release_gone_endpoints(&mut self, now: Micros, follows: &mut DirectoryOutput) {
-        while let Some((at, to)) = self.leaving.first().copied().filter(|l| l.0 <= now) {
-            self.leaving.remove(&(at, to));
-            let Some(p) = self.peers.get(&to).filter(|p| p.gone) else { continue };
-            if p.calls_in_flight > 0 {
-                self.leaving.insert((now.plus(PEER_REST), to));
+    /// Releases active endpoints that are gone. The endpoint is released once it has no call in flight and no call may
+    /// still request a permit to be written to it; its receiver id is released once the core has forgotten it as well.
+    pub fn release_gone_endpoints(&mut self, now: Micros, output: &mut DirectoryOutput) {
+        while let Some((at, receiver)) = self.release_checks.first().copied().filter(|check| check.0 <= now) {
+            self.release_checks.remove(&(at, receiver));
+            let Some(active) = self.active_endpoints.get(&receiver).filter(|e| e.gone) else { continue };
+            if active.calls_in_flight > 0 {
+                self.release_checks.insert((now.plus(GONE_ENDPOINT_RETENTION), receiver));
                 continue;
             }
-            if let Some(p) = self.peers.remove(&to) {
-                follows.commands.push(EndpointCommand::Close(to));
-                self.forget.insert((now.plus(FORGET).max(p.wait_until), p.name));
+            if let Some(active) = self.active_endpoints.remove(&receiver) {
+                output.commands.push(EndpointCommand::Close(receiver));
+                let expiry = now.plus(REMOVED_NAME_RETENTION).max(active.wait_until);
+                self.receiver_id_expiry.insert((expiry, active.name));
             }
         }
-        while self.forget.first().is_some_and(|(t, _)| *t <= now) {
-            let Some((_, name)) = self.forget.pop_first() else { break };
-            // It may be back meanwhile.
-            if self.numbers.get(&name).is_some_and(|to| !self.peers.contains_key(to)) {
-                self.numbers.remove(&name);
+        while self.receiver_id_expiry.first().is_some_and(|(expiry, _)| *expiry <= now) {
+            let Some((_, name)) = self.receiver_id_expiry.pop_first() else { break };
+            // The endpoint may have come back in the meantime.
+            if self
+                .receiver_ids
+                .get(&name)
+                .is_some_and(|receiver| !self.active_endpoints.contains_key(receiver))
+            {
+                self.receiver_ids.remove(&name);
             }
         }
     }
 
-    /// A destination that may rest, if its module can do without it.
+    /// The next destination that may be deactivated, if the core can do without it.
     pub fn next_idle(&mut self, now: Micros) -> Option<u64> {
-        while let Some((until, destination)) = self.left_order.front().copied().filter(|l| l.0 <= now) {
-            self.left_order.pop_front();
-            if self.left.get(&destination) != Some(&until) {
+        while let Some((until, destination)) = self.removed_order.front().copied().filter(|l| l.0 <= now) {
+            self.removed_order.pop_front();
+            if self.removed_destinations.get(&destination) != Some(&until) {
                 continue;
             }
-            if self.awake.contains(destination) {
-                // What is held for it may not have ended yet.
-                self.departs(now, destination);
+            if self.active_destinations.contains(destination) {
+                // Messages may still be held for the destination, so it is remembered for another period.
+                self.remember_removed_destination(now, destination);
                 return Some(destination);
             }
-            self.left.remove(&destination);
+            self.removed_destinations.remove(&destination);
         }
         loop {
-            let destination = self.awake.next_idle(now)?;
-            if !self.fixed.contains(&destination) {
+            let destination = self.active_destinations.next_idle(now)?;
+            if !self.fixed_destinations.contains(&destination) {
                 return Some(destination);
             }
         }
     }
 
-    /// The module has forgotten a destination, and this is what it was like.
+    /// Deactivates a destination that the core has forgotten, and stores the health that the core had of it and of its
+    /// endpoints.
     pub fn deactivate(
-        &mut self, now: Micros, destination: u64, whole: RetainedHealth,
-        each: &[(ReceiverId, RetainedHealth)], follows: &mut DirectoryOutput,
+        &mut self, now: Micros, destination: u64, health: RetainedHealth,
+        endpoints: &[(ReceiverId, RetainedHealth)], output: &mut DirectoryOutput,
     ) {
-        self.memories.store(now, HealthKey::Destination(destination), whole);
-        for (to, repute) in each {
-            if let Some(p) = self.peers.get(to) {
-                self.memories.store(now, HealthKey::Endpoint(p.name.as_str().into()), *repute);
+        self.health_store.store(now, HealthKey::Destination(destination), health);
+        for (receiver, endpoint_health) in endpoints {
+            if let Some(active) = self.active_endpoints.get(receiver) {
+                self.health_store.store(
+                    now,
+                    HealthKey::Endpoint(active.name.as_str().into()),
+                    *endpoint_health,
+                );
             }
         }
-        for e in self.roster.endpoints_of(destination).filter_map(|id| self.roster.get(id)) {
-            if let Some(to) = self.numbers.remove(e.name)
-                && self.peers.remove(&to).is_some()
+        for listed in self.table.endpoints_of(destination).filter_map(|id| self.table.get(id)) {
+            if let Some(receiver) = self.receiver_ids.remove(listed.name)
+                && self.active_endpoints.remove(&receiver).is_some()
             {
-                follows.commands.push(EndpointCommand::Close(to));
+                output.commands.push(EndpointCommand::Close(receiver));
             }
         }
-        self.awake.deactivate(now, destination);
-        if !self.roster.has_destination(destination) {
-            self.left.remove(&destination);
+        self.active_destinations.deactivate(now, destination);
+        if !self.table.has_destination(destination) {
+            self.removed_destinations.remove(&destination);
         }
     }
 }
--- a/roster/src/health_store.rs
+++ b/roster/src/health_store.rs
@@ -1,149 +1,147 @@
-//! What is kept of destinations and routes at rest, and what it is still worth when they wake.
+//! The health that is kept of deactivated destinations and endpoints, and how it decays until they become active again.
 
 use hashbrown::HashMap;
 use onyxrock::interface::{Micros, RetainedHealth};
 use serde::{Deserialize, Serialize};
 
-/// How fast what was learned ages.
+/// How stored health decays.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct HealthDecay {
-    /// A rate that was served so long ago is worth half.
+    /// A served rate halves with each period of this length.
     pub half_life: Micros,
-    /// Older than this it is worth nothing.
+    /// Health that is older than this is discarded, except for a retry-after that has not ended.
     pub forget_after: Micros,
 }
 
 impl Default for HealthDecay {
-    /// Ten minutes, and four hours.
+    /// A half-life of ten minutes; health is discarded after four hours.
     fn default() -> HealthDecay {
         HealthDecay { half_life: Micros(600_000_000), forget_after: Micros(14_400_000_000) }
     }
 }
 
-/// What a destination or route was like when it went to rest; 24 bytes.
+/// Health of a destination or endpoint at the time when it was deactivated. Takes 24 bytes.
 #[derive(Clone, Copy, PartialEq, Debug, Default)]
 pub struct StoredHealth {
-    /// When it went.
+    /// When the destination was deactivated.
     pub deactivated_at: Micros,
-    /// It had told to wait until then; outlives everything else.
+    /// End of the latest retry-after. It is kept until then, even after `forget_after`.
     pub wait_until: Micros,
-    /// Calls a second that it served us.
+    /// Calls per second that the destination or endpoint served for this forwarder.
     pub served_per_s: f32,
-    /// It was out of order.
+    /// Whether the destination or endpoint was unhealthy.
     pub unhealthy: bool,
 }
 
 impl StoredHealth {
-    /// Of one that goes to rest now.
+    /// Captures the health of a destination or endpoint that is deactivated now.
     #[must_use]
-    pub fn capture(now: Micros, r: RetainedHealth) -> StoredHealth {
+    pub fn capture(now: Micros, health: RetainedHealth) -> StoredHealth {
         StoredHealth {
             deactivated_at: now,
-            wait_until: r.wait_until,
-            served_per_s: r.served_per_s as f32,
-            unhealthy: r.unhealthy,
+            wait_until: health.wait_until,
+            served_per_s: health.served_per_s as f32,
+            unhealthy: health.unhealthy,
         }
     }
 
-    /// What it is worth at a time: half its rate after each half-life, nothing if it was out of order; a clock that
-    /// went back makes nothing younger.
+    /// The health after decay: the rate halves with each half-life, and is zero if the endpoint was unhealthy. If the clock
+    /// has gone back, the age counts as zero.
     #[must_use]
     pub fn decayed(&self, now: Micros, terms: HealthDecay) -> RetainedHealth {
         let age = now.since(self.deactivated_at);
         let wait_until = if self.wait_until > now { self.wait_until } else { Micros(0) };
-        let served = if self.unhealthy || age >= terms.forget_after || !self.served_per_s.is_finite() {
+        let served_per_s = if self.unhealthy || age >= terms.forget_after || !self.served_per_s.is_finite() {
             0.0
         } else {
-            let halves = age.secs() / terms.half_life.secs().max(1e-6);
-            f64::from(self.served_per_s.max(0.0)) * (-halves).exp2()
+            let half_lives = age.secs() / terms.half_life.secs().max(1e-6);
+            f64::from(self.served_per_s.max(0.0)) * (-half_lives).exp2()
         };
-        RetainedHealth {
-            served_per_s: served,
-            wait_until,
-            unhealthy: self.unhealthy && age < terms.forget_after,
-        }
+        RetainedHealth { served_per_s, wait_until, unhealthy: self.unhealthy && age < terms.forget_after }
     }
 
-    /// Nothing in it is worth keeping any more.
+    /// Whether nothing is left after decay.
     #[must_use]
     pub fn is_stale(&self, now: Micros, terms: HealthDecay) -> bool {
         self.decayed(now, terms) == RetainedHealth::default()
     }
 }
 
-/// Whose memory it is. A route may leave the list and come back under its name with its wait still running.
+/// Identifies what stored health belongs to. Endpoints are identified by name, because a route may leave the list and come
+/// back under its name before its retry-after has ended.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 pub enum HealthKey {
-    /// A destination's, by its number.
+    /// A destination, by its number.
     Destination(u64),
-    /// An endpoint's, by its name.
+    /// An endpoint, by its name.
     Endpoint(Box<str>),
 }
 
-/// The memories of all that rest and were in use once. What is worth nothing any more is let go in passing.
+/// Stored health of all deactivated destinations and their endpoints. Stale entries are removed as the store grows.
 #[derive(Debug, Default)]
 pub struct HealthStore {
-    terms: HealthDecay,
-    all: HashMap<HealthKey, StoredHealth>,
-    /// How many there were when all were last looked at: a look costs no more than what came since.
-    looked: usize,
-    /// Changes since the start.
+    decay: HealthDecay,
+    entries: HashMap<HealthKey, StoredHealth>,
+    /// Number of entries after the last removal of stale ones. The next removal waits until that number has doubled, so
+    /// that its cost is proportional to the entries added since.
+    len_after_cleanup: usize,
+    /// Number of changes since the start of the process.
     changes: u64,
 }
 
 impl HealthStore {
-    /// None yet.
+    /// Creates an empty store.
     #[must_use]
-    pub fn new(terms: HealthDecay) -> HealthStore {
-        HealthStore { terms, ..HealthStore::default() }
+    pub fn new(decay: HealthDecay) -> HealthStore {
+        HealthStore { decay, ..HealthStore::default() }
     }
-    /// How many there are.
+    /// Number of entries.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.all.len()
+        self.entries.len()
     }
-    /// There are none.
+    /// Whether there are no entries.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.all.is_empty()
+        self.entries.is_empty()
     }
-    /// Keeps what one was like, unless that is nothing. When there are twice as many as there were worth keeping at the
-    /// last look, all are looked at: O(1) for each that came.
-    pub fn store(&mut self, now: Micros, whose: HealthKey, r: RetainedHealth) {
-        let m = StoredHealth::capture(now, r);
-        if m.is_stale(now, self.terms) {
-            self.all.remove(&whose);
+    /// Stores the health of a destination or endpoint, unless it is stale already. Once there are twice as many entries as
+    /// were left by the last removal of stale ones (and more than 1,024), stale entries are removed again: amortized O(1).
+    pub fn store(&mut self, now: Micros, key: HealthKey, health: RetainedHealth) {
+        let stored = StoredHealth::capture(now, health);
+        if stored.is_stale(now, self.decay) {
+            self.entries.remove(&key);
             return;
         }
         self.changes += 1;
-        self.all.insert(whose, m);
-        if self.all.len() > 2 * self.looked.max(512) {
-            let terms = self.terms;
-            self.all.retain(|_, m| !m.is_stale(now, terms));
-            self.all.shrink_to(self.all.len() * 2);
-            self.looked = self.all.len();
+        self.entries.insert(key, stored);
+        if self.entries.len() > 2 * self.len_after_cleanup.max(512) {
+            let decay = self.decay;
+            self.entries.retain(|_, stored| !stored.is_stale(now, decay));
+            self.entries.shrink_to(self.entries.len() * 2);
+            self.len_after_cleanup = self.entries.len();
         }
     }
-    /// Takes out what is still known of one.
-    pub fn take(&mut self, now: Micros, whose: &HealthKey) -> RetainedHealth {
-        let known = self.all.remove(whose);
-        self.changes += u64::from(known.is_some());
-        known.map(|m| m.decayed(now, self.terms)).unwrap_or_default()
+    /// Removes an entry and returns its health after decay; the default if there is none.
+    pub fn take(&mut self, now: Micros, key: &HealthKey) -> RetainedHealth {
+        let stored = self.entries.remove(key);
+        self.changes += u64::from(stored.is_some());
+        stored.map(|stored| stored.decayed(now, self.decay)).unwrap_or_default()
     }
-    /// How often something has come or gone.
+    /// Number of times that an entry was stored or taken.
     #[must_use]
     pub fn change_count(&self) -> u64 {
         self.changes
     }
-    /// All of them, in no order.
+    /// All entries, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = (&HealthKey, &StoredHealth)> {
-        self.all.iter()
+        self.entries.iter()
     }
-    /// Takes one as an earlier process kept it. A time of its rest that is still to come is nothing to go by.
-    pub fn restore(&mut self, now: Micros, whose: HealthKey, m: StoredHealth) {
-        let m = StoredHealth { deactivated_at: m.deactivated_at.min(now), ..m };
-        if !m.is_stale(now, self.terms) {
-            self.all.insert(whose, m);
+    /// Restores an entry that an earlier process saved. A time of deactivation in the future counts as now.
+    pub fn restore(&mut self, now: Micros, key: HealthKey, stored: StoredHealth) {
+        let stored = StoredHealth { deactivated_at: stored.deactivated_at.min(now), ..stored };
+        if !stored.is_stale(now, self.decay) {
+            self.entries.insert(key, stored);
         }
     }
 }
@@ -152,45 +150,46 @@
 mod tests {
     use super::*;
 
-    const T: HealthDecay = HealthDecay { half_life: Micros(100), forget_after: Micros(1000) };
+    const DECAY: HealthDecay = HealthDecay { half_life: Micros(100), forget_after: Micros(1000) };
 
     #[test]
-    fn a_rate_halves_and_then_is_nothing() {
-        let m = StoredHealth { deactivated_at: Micros(1000), served_per_s: 8.0, ..StoredHealth::default() };
-        let at = |now| m.decayed(Micros(now), T).served_per_s as f32;
-        assert_eq!((at(1000), at(1100), at(1300), at(2000)), (8.0, 4.0, 1.0, 0.0));
-        assert_eq!(at(500), 8.0, "a clock that went back");
-        assert!(!m.is_stale(Micros(1999), T) && m.is_stale(Micros(2000), T));
+    fn a_rate_halves_with_each_half_life_until_it_is_forgotten() {
+        let stored =
+            StoredHealth { deactivated_at: Micros(1000), served_per_s: 8.0, ..StoredHealth::default() };
+        let rate_at = |now| stored.decayed(Micros(now), DECAY).served_per_s as f32;
+        assert_eq!((rate_at(1000), rate_at(1100), rate_at(1300), rate_at(2000)), (8.0, 4.0, 1.0, 0.0));
+        assert_eq!(rate_at(500), 8.0, "the clock has gone back");
+        assert!(!stored.is_stale(Micros(1999), DECAY) && stored.is_stale(Micros(2000), DECAY));
     }
 
     #[test]
-    fn what_was_sick_has_no_rate_and_a_wait_outlives_the_rest() {
-        let m = StoredHealth {
+    fn an_unhealthy_endpoint_keeps_no_rate_and_its_retry_after_outlives_all_else() {
+        let stored = StoredHealth {
             deactivated_at: Micros(0),
             wait_until: Micros(5000),
             served_per_s: 8.0,
             unhealthy: true,
         };
-        let r = RetainedHealth { served_per_s: 0.0, wait_until: Micros(5000), unhealthy: true };
-        assert_eq!(m.decayed(Micros(10), T), r);
-        assert_eq!(m.decayed(Micros(4000), T), RetainedHealth { unhealthy: false, ..r });
-        assert!(!m.is_stale(Micros(4999), T) && m.is_stale(Micros(5000), T));
-        let odd = StoredHealth { served_per_s: f32::NAN, ..StoredHealth::default() };
-        assert_eq!(odd.decayed(Micros(1), T).served_per_s, 0.0);
+        let health = RetainedHealth { served_per_s: 0.0, wait_until: Micros(5000), unhealthy: true };
+        assert_eq!(stored.decayed(Micros(10), DECAY), health);
+        assert_eq!(stored.decayed(Micros(4000), DECAY), RetainedHealth { unhealthy: false, ..health });
+        assert!(!stored.is_stale(Micros(4999), DECAY) && stored.is_stale(Micros(5000), DECAY));
+        let not_a_number = StoredHealth { served_per_s: f32::NAN, ..StoredHealth::default() };
+        assert_eq!(not_a_number.decayed(Micros(1), DECAY).served_per_s, 0.0);
     }
 
     #[test]
-    fn memories_that_are_worth_nothing_do_not_pile_up() {
-        let mut all = HealthStore::new(T);
+    fn stale_entries_do_not_accumulate() {
+        let mut store = HealthStore::new(DECAY);
         for i in 0..100_000 {
-            all.store(
+            store.store(
                 Micros(i),
                 HealthKey::Destination(i),
                 RetainedHealth { served_per_s: 1.0, ..RetainedHealth::default() },
             );
         }
-        assert!(all.len() <= 2 * 1000 + 1, "{}: a thousand are worth something at any time", all.len());
-        all.store(Micros(0), HealthKey::Destination(7), RetainedHealth::default());
-        assert_eq!(all.take(Micros(0), &HealthKey::Destination(7)), RetainedHealth::default());
+        assert!(store.len() <= 2 * 1000 + 1, "{}: a thousand are not stale at any time", store.len());
+        store.store(Micros(0), HealthKey::Destination(7), RetainedHealth::default());
+        assert_eq!(store.take(Micros(0), &HealthKey::Destination(7)), RetainedHealth::default());
     }
 }
--- a/roster/src/lib.rs
+++ b/roster/src/lib.rs
@@ -1,27 +1,30 @@
-//! Every endpoint that the list names, for little: no I/O, no clock, no task.
+//! The endpoints that the endpoint list names, and the health of those that are not in use. This crate does no I/O,
+//! reads no clock and runs no task.
 //!
 //! A network may list tens of thousands of endpoints of which a hundred are in use. An endpoint in use has an actor, a
-//! mailbox, connections, and a place in the module. One that is not should cost its entry in a table and no more.
+//! mailbox, connections, and state in the core. An endpoint that is not in use costs its record in a table and no more.
 //!
-//! - [`Roster`] is that table: a fixed record for each endpoint, its name in one arena with all others, zones interned,
-//!   found by name and by destination through hash tables of record numbers. A whole list is taken as a difference:
-//!   [`Roster::begin`], [`Roster::put`] for each entry, [`Roster::sweep`] in slices for what the list no longer names.
-//!   What changed comes out as [`Change`]s, so that nobody walks the whole.
-//! - [`Directory`] is all of it together: it takes the list and each use of a destination, and says what follows for
-//!   the endpoints in use ([`Order`]) and for the module round which they are ([`Follows`], [`Woken`]).
-//!   Operators may take endpoints out of use for maintenance ([`Directory::set_maintenance`]), which lists do not undo.
-//! - [`Staged`] holds a list while it is read: the table takes a list as a whole or not at all.
-//! - [`Awake`] says which destinations are in use, and which have not been for long enough to rest.
-//! - [`Memory`] is what is kept of a destination that goes to rest: its served rate, a wait it had told, whether it was
-//!   out of order. It ages: after a half-life the rate is worth half, and after a few nothing is left but the caution
-//!   that is due to any destination that nobody has heard of for a while. [`Memories`] holds them all.
-//! - [`Writer`] puts memories into the blocks of a file, and [`read`] takes them out of it or says what is wrong with it.
+//! - [`EndpointTable`] is that table. It has a fixed-size record for each endpoint, one arena for all names, and
+//!   interned zones; hash tables of record indices find a record by name or by destination. A complete list is applied
+//!   as a difference: [`EndpointTable::begin_complete_list`], [`EndpointTable::put`] for each entry, then
+//!   [`EndpointTable::sweep`] in slices for endpoints that the list no longer names. Each call returns [`Change`]s, so
+//!   that no caller has to walk the whole table.
+//! - [`Directory`] combines the parts: it takes list entries and each use of a destination, and returns commands for the
+//!   endpoints in use ([`EndpointCommand`]) and updates for the core ([`DirectoryOutput`], [`ActivatedDestination`]).
+//!   Operators may take endpoints out of use for maintenance ([`Directory::set_maintenance`]); a list does not undo that.
+//! - [`StagedList`] holds a list while it is read, because the table applies a list as a whole or not at all.
+//! - [`ActiveDestinations`] tracks which destinations are in use, and which have been idle long enough to be deactivated.
+//! - [`StoredHealth`] is the health kept of a deactivated destination or endpoint: its served rate, a retry-after that
+//!   it sent, and whether it was unhealthy. The rate halves with each half-life, and after a few half-lives only the
+//!   caution remains that applies to any destination that has not been used for a while. [`HealthStore`] holds them.
+//! - [`SnapshotWriter`] encodes stored health as the blocks of a file, and [`read_snapshot`] decodes the file or returns
+//!   what is wrong with it.
 //!
 //! ```
-//! use onyxrock::interface::Listing;
-//! use onyxrock_roster::{Change, Endpoint, Roster};
+//! use onyxrock::interface::EntryState;
+//! use onyxrock_roster::{Change, Endpoint, EndpointTable};
 //!
-//! let mut roster = Roster::new(1_000);
+//! let mut table = EndpointTable::new(1_000);
 //! let club = Endpoint {
 //!     name: "club-17",
 //!     address: "127.0.0.1:7070".parse().unwrap(),
@@ -29,20 +32,20 @@
 //!     kind: 1,
 //!     destination: 17,
 //!     weight: 2.5,
-//!     listing: Listing::Ready,
+//!     state: EntryState::Ready,
 //! };
-//! let id = match roster.put(club.clone()) {
+//! let id = match table.put(club.clone()) {
 //!     Ok(Some(Change::Added(id))) => id,
 //!     other => panic!("{other:?}"),
 //! };
-//! assert_eq!(roster.put(club.clone()), Ok(None), "nothing has changed");
-//! assert_eq!(roster.of(17).collect::<Vec<_>>(), [id]);
-//! assert_eq!(roster.find("club-17").and_then(|id| roster.get(id)), Some(club));
+//! assert_eq!(table.put(club.clone()), Ok(None), "nothing has changed");
+//! assert_eq!(table.endpoints_of(17).collect::<Vec<_>>(), [id]);
+//! assert_eq!(table.find("club-17").and_then(|id| table.get(id)), Some(club));
 //!
-//! // A whole list that does not name it any more.
-//! roster.begin();
+//! // A complete list that no longer names the endpoint.
+//! table.begin_complete_list();
 //! let mut gone = Vec::new();
-//! while !roster.sweep(100, &mut gone) {}
+//! while !table.sweep(100, &mut gone) {}
 //! assert_eq!(gone, [Change::Gone(id)]);
 //! ```
 
--- a/roster/src/staged_list.rs
+++ b/roster/src/staged_list.rs
@@ -1,118 +1,125 @@
-//! A list on its way in.
+//! A list that is still being read.
 
 use crate::table::{Endpoint, EntryError};
 use onyxrock::interface::EntryState;
 use std::net::SocketAddr;
 
-/// Entries of one block. It is what a table takes in one turn, and small enough that freed ones are used again.
-const BLOCK: usize = 256;
+/// Entries of one block. A block is what the table applies at a time, and is small enough for the allocator to reuse the
+/// memory of freed blocks.
+const BLOCK_ENTRIES: usize = 256;
 
 #[derive(Clone, Copy, Debug)]
-struct Line {
+struct StagedEntry {
     destination: u64,
     address: SocketAddr,
+    /// End of the name in `EntryBlock::names`; it starts where the name before it ends.
     name_end: u32,
     weight: f32,
+    /// Index into `EntryBlock::zones`.
     zone: u16,
     kind: u16,
-    listing: EntryState,
+    state: EntryState,
 }
 
-/// Some entries of a list, in its order; their names lie in one run of bytes.
+/// Consecutive entries of a list; their names lie in one string.
 #[derive(Debug, Default)]
 pub struct EntryBlock {
     names: String,
     zones: Vec<Box<str>>,
-    lines: Vec<Line>,
+    entries: Vec<StagedEntry>,
 }
 
-/// Entries of a list that is still being read: the table takes it as a whole or not at all. Each block goes as soon as
-/// it has been taken, so that a long list is not held twice.
+/// Entries of a list that is still being read; the table applies a list as a whole or not at all. Each block is freed as
+/// soon as it has been applied, so that a long list is not held twice.
 #[derive(Debug, Default)]
 pub struct StagedList {
-    most: usize,
-    most_bytes: usize,
+    max_entries: usize,
+    max_bytes: usize,
     len: usize,
     name_bytes: usize,
     blocks: Vec<EntryBlock>,
 }
 
 impl StagedList {
-    /// For so many entries, in so many bytes, at most.
+    /// Creates an empty list that holds at most `max_entries` entries in at most `max_bytes` bytes.
     #[must_use]
-    pub fn new(most: usize, most_bytes: usize) -> StagedList {
-        StagedList { most, most_bytes, ..StagedList::default() }
+    pub fn new(max_entries: usize, max_bytes: usize) -> StagedList {
+        StagedList { max_entries, max_bytes, ..StagedList::default() }
     }
-    /// Entries that are here.
+    /// Number of entries.
     #[must_use]
     pub fn len(&self) -> usize {
         self.len
     }
-    /// None is.
+    /// Whether there are no entries.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
-    /// Bytes that they take.
+    /// Bytes of memory that the entries take.
     #[must_use]
     pub fn memory_bytes(&self) -> usize {
-        self.name_bytes + self.len.next_multiple_of(BLOCK) * size_of::<Line>()
+        self.name_bytes + self.len.next_multiple_of(BLOCK_ENTRIES) * size_of::<StagedEntry>()
     }
 
-    /// Takes one more.
+    /// Appends an entry.
     ///
     /// # Errors
-    /// [`Refused::Full`] beyond a bound, [`Refused::Shape`] for one that no table takes.
-    pub fn push(&mut self, e: &Endpoint<'_>) -> Result<(), EntryError> {
-        if u16::try_from(e.name.len()).is_err() {
+    /// [`EntryError::Full`] beyond a bound, [`EntryError::OutOfBounds`] for an entry that no table takes.
+    pub fn push(&mut self, entry: &Endpoint<'_>) -> Result<(), EntryError> {
+        if u16::try_from(entry.name.len()).is_err() {
             return Err(EntryError::OutOfBounds);
         }
-        let block = if self.len.is_multiple_of(BLOCK) { BLOCK * size_of::<Line>() } else { 0 };
-        if self.len >= self.most || self.memory_bytes() + e.name.len() + block > self.most_bytes {
+        let new_block_bytes =
+            if self.len.is_multiple_of(BLOCK_ENTRIES) { BLOCK_ENTRIES * size_of::<StagedEntry>() } else { 0 };
+        if self.len >= self.max_entries
+            || self.memory_bytes() + entry.name.len() + new_block_bytes > self.max_bytes
+        {
             return Err(EntryError::Full);
         }
-        if block > 0 {
-            self.blocks.push(EntryBlock { lines: Vec::with_capacity(BLOCK), ..EntryBlock::default() });
+        if new_block_bytes > 0 {
+            self.blocks
+                .push(EntryBlock { entries: Vec::with_capacity(BLOCK_ENTRIES), ..EntryBlock::default() });
         }
-        let Some(b) = self.blocks.last_mut() else { return Err(EntryError::Full) };
-        let at = b.zones.iter().rposition(|z| &**z == e.zone).unwrap_or_else(|| {
-            b.zones.push(e.zone.into());
-            b.zones.len() - 1
+        let Some(block) = self.blocks.last_mut() else { return Err(EntryError::Full) };
+        let zone_index = block.zones.iter().rposition(|zone| &**zone == entry.zone).unwrap_or_else(|| {
+            block.zones.push(entry.zone.into());
+            block.zones.len() - 1
         });
-        let zone = u16::try_from(at).map_err(|_| EntryError::OutOfBounds)?;
-        b.names.push_str(e.name);
-        b.lines.push(Line {
-            destination: e.destination,
-            address: e.address,
-            name_end: u32::try_from(b.names.len()).map_err(|_| EntryError::OutOfBounds)?,
-            weight: e.weight,
+        let zone = u16::try_from(zone_index).map_err(|_| EntryError::OutOfBounds)?;
+        block.names.push_str(entry.name);
+        block.entries.push(StagedEntry {
+            destination: entry.destination,
+            address: entry.address,
+            name_end: u32::try_from(block.names.len()).map_err(|_| EntryError::OutOfBounds)?,
+            weight: entry.weight,
             zone,
-            kind: e.kind,
-            listing: e.state,
+            kind: entry.kind,
+            state: entry.state,
         });
-        (self.len, self.name_bytes) = (self.len + 1, self.name_bytes + e.name.len());
+        (self.len, self.name_bytes) = (self.len + 1, self.name_bytes + entry.name.len());
         Ok(())
     }
 
-    /// Them all, in order.
+    /// The blocks of entries, in the order of the list.
     pub fn into_blocks(self) -> impl Iterator<Item = EntryBlock> {
         self.blocks.into_iter()
     }
 }
 
 impl EntryBlock {
-    /// Its entries.
+    /// The entries of the block.
     pub fn iter(&self) -> impl Iterator<Item = Endpoint<'_>> {
-        let from = std::iter::once(0).chain(self.lines.iter().map(|l| l.name_end as usize));
-        self.lines.iter().zip(from).filter_map(|(l, from)| {
+        let name_starts = std::iter::once(0).chain(self.entries.iter().map(|entry| entry.name_end as usize));
+        self.entries.iter().zip(name_starts).filter_map(|(entry, name_start)| {
             Some(Endpoint {
-                name: self.names.get(from..l.name_end as usize)?,
-                address: l.address,
-                zone: self.zones.get(usize::from(l.zone))?,
-                kind: l.kind,
-                destination: l.destination,
-                weight: l.weight,
-                state: l.listing,
+                name: self.names.get(name_start..entry.name_end as usize)?,
+                address: entry.address,
+                zone: self.zones.get(usize::from(entry.zone))?,
+                kind: entry.kind,
+                destination: entry.destination,
+                weight: entry.weight,
+                state: entry.state,
             })
         })
     }
@@ -123,34 +130,34 @@
     use super::*;
 
     #[test]
-    fn entries_come_out_as_they_went_in_and_bounds_hold() {
-        let one = |name, zone, listing| Endpoint {
+    fn blocks_return_the_entries_unchanged_and_bounds_hold() {
+        let endpoint = |name, zone, state| Endpoint {
             name,
             address: "[::1]:7".parse().unwrap(),
             zone,
             kind: 2,
             destination: 9,
             weight: 1.5,
-            state: listing,
+            state,
         };
         let all = [
-            one("a", "x", EntryState::Ready),
-            one("", "y", EntryState::Gone),
-            one("cc", "x", EntryState::Draining),
+            endpoint("a", "x", EntryState::Ready),
+            endpoint("", "y", EntryState::Gone),
+            endpoint("cc", "x", EntryState::Draining),
         ];
-        let mut s = StagedList::new(900, 1 << 20);
-        (0..900).for_each(|i| s.push(&all[i % 3]).unwrap());
-        assert_eq!((s.push(&all[0]), s.len()), (Err(EntryError::Full), 900));
-        let blocks: Vec<_> = s.into_blocks().collect();
+        let mut staged = StagedList::new(900, 1 << 20);
+        (0..900).for_each(|i| staged.push(&all[i % 3]).unwrap());
+        assert_eq!((staged.push(&all[0]), staged.len()), (Err(EntryError::Full), 900));
+        let blocks: Vec<_> = staged.into_blocks().collect();
         let out: Vec<_> = blocks.iter().flat_map(EntryBlock::iter).collect();
         assert!(out.len() == 900 && out.iter().enumerate().all(|(i, e)| *e == all[i % 3]));
-        let bytes = 3 * BLOCK * size_of::<Line>();
+        let bytes = 3 * BLOCK_ENTRIES * size_of::<StagedEntry>();
         let mut small = StagedList::new(10_000, bytes);
-        let taken = (0..10_000).take_while(|_| small.push(&all[1]).is_ok()).count();
-        assert!(taken == 3 * BLOCK && small.memory_bytes() <= bytes, "{taken}");
+        let accepted = (0..10_000).take_while(|_| small.push(&all[1]).is_ok()).count();
+        assert!(accepted == 3 * BLOCK_ENTRIES && small.memory_bytes() <= bytes, "{accepted}");
         let long = "n".repeat(70_000);
         assert_eq!(
-            StagedList::new(9, 1 << 20).push(&one(&long, "x", EntryState::Ready)),
+            StagedList::new(9, 1 << 20).push(&endpoint(&long, "x", EntryState::Ready)),
             Err(EntryError::OutOfBounds)
         );
     }
--- a/roster/src/table.rs
+++ b/roster/src/table.rs
@@ -1,4 +1,4 @@
-//! The table.
+//! The table of all endpoints that the list names, found by name and by destination.
 
 use hashbrown::{DefaultHashBuilder, HashTable};
 use onyxrock::interface::EntryState;
@@ -6,138 +6,143 @@
 use std::hash::BuildHasher;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// An endpoint's record. It names the same endpoint until that is gone and swept; then it may name another.
+/// Identifies the record of an endpoint. Once the record has been removed, the id may be given to another endpoint.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct RosterId(u32);
 
-/// One endpoint, as the list states it.
+/// One endpoint, as the list describes it.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Endpoint<'a> {
-    /// Its name, which no other has; 65,535 bytes at most.
+    /// Unique name, at most 65,535 bytes.
     pub name: &'a str,
-    /// Where it is.
+    /// Address that calls are sent to.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Name of the zone.
     pub zone: &'a str,
-    /// The caller's number for its kind.
+    /// The caller's number of the endpoint's kind.
     pub kind: u16,
-    /// Its destination.
+    /// Destination that the endpoint serves.
     pub destination: u64,
-    /// Calls a second that its destination takes, roughly.
+    /// Approximate rate that its destination takes, in calls per second.
     pub weight: f32,
-    /// Its state.
+    /// State of the entry.
     pub state: EntryState,
 }
 
-/// What a [`Roster::put`] or a sweep changed.
+/// What [`EndpointTable::put`] or [`EndpointTable::sweep`] changed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Change {
-    /// It was not here.
+    /// The endpoint is new.
     Added(RosterId),
-    /// Its state, address, zone, kind or weight is another.
+    /// The endpoint's state, address, zone, kind, weight or destination has changed.
     Changed(RosterId),
-    /// The list no longer names it, or names it as gone. Its record is as it was until [`Roster::remove`].
+    /// The list no longer names the endpoint, or names it as gone. Its record stays until [`EndpointTable::remove`].
     Gone(RosterId),
 }
 
-/// An entry was not taken; the table is as before.
+/// Why an entry was not taken. The table is unchanged.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum EntryError {
-    /// The table holds as many as it may.
+    /// The table, or its arena of names, is full.
     Full,
-    /// Its name is too long, or there are more zones than a list can mean.
+    /// The name is too long, or the list has more zones than is plausible.
     OutOfBounds,
 }
 
-const NONE: u32 = u32::MAX;
-/// Zones are few; a list with more is not one.
-const ZONES_MOST: usize = 4096;
-/// Names that are gone may take so many bytes, and as many as those that are here, before the arena is made anew.
-const SLACK: usize = 64 * 1024;
+/// Marks the end of a chain of records.
+const NO_RECORD: u32 = u32::MAX;
+
+/// Bound on the distinct zone names. A network has few zones; more mean that the list is malformed.
+const MAX_ZONES: usize = 4096;
+
+/// The arena of names is compacted once removed names take more than this many bytes and more than half of it.
+const MAX_DEAD_NAME_BYTES: usize = 64 * 1024;
 
 #[derive(Clone, Copy, Debug)]
 struct Record {
     destination: u64,
-    name_at: u32,
-    /// The next of its destination.
+    name_offset: u32,
+    /// Index of the next record of the same destination, or [`NO_RECORD`].
     next: u32,
     weight: f32,
-    /// The whole list that last named it.
+    /// Value of `EndpointTable::epoch` when a list last named the endpoint.
     epoch: u32,
-    /// An IPv4 address, or a place among the others.
+    /// An IPv4 address, or an index into `EndpointTable::ipv6_addresses` if `is_ipv6` is set.
     ip: u32,
     name_len: u16,
     port: u16,
     zone: u16,
     kind: u16,
-    v6: bool,
-    listing: EntryState,
+    is_ipv6: bool,
+    state: EntryState,
 }
 
-/// All endpoints that the list names.
+/// All endpoints that the list names, one fixed-size record each.
 #[derive(Debug)]
 pub struct EndpointTable {
-    most: usize,
+    max_endpoints: usize,
     records: Slab<Record>,
+    /// Arena that holds all names; a removed name stays in it until the arena is compacted.
     names: Vec<u8>,
-    dead_names: usize,
+    dead_name_bytes: usize,
     zones: Vec<Box<str>>,
     /// Addresses that are not IPv4.
-    others: Slab<IpAddr>,
+    ipv6_addresses: Slab<IpAddr>,
     by_name: HashTable<u32>,
-    /// The first record of each destination.
+    /// Index of the first record of each destination; the others are chained by `Record::next`.
     by_destination: HashTable<u32>,
     hash: DefaultHashBuilder,
+    /// Number of the latest complete list.
     epoch: u32,
-    /// Where the sweep stands, if a whole list is being taken.
-    sweep: Option<usize>,
+    /// Index of the next record to check, while a complete list is being applied.
+    sweep_position: Option<usize>,
 }
 
 impl EndpointTable {
-    /// An empty table for so many endpoints at most.
+    /// Creates an empty table for at most `max_endpoints` endpoints.
     #[must_use]
-    pub fn new(most: usize) -> EndpointTable {
+    pub fn new(max_endpoints: usize) -> EndpointTable {
         EndpointTable {
-            most: most.min(NONE as usize - 1),
+            max_endpoints: max_endpoints.min(NO_RECORD as usize - 1),
             records: Slab::new(),
             names: Vec::new(),
-            dead_names: 0,
+            dead_name_bytes: 0,
             zones: Vec::new(),
-            others: Slab::new(),
+            ipv6_addresses: Slab::new(),
             by_name: HashTable::new(),
             by_destination: HashTable::new(),
             hash: DefaultHashBuilder::default(),
             epoch: 0,
-            sweep: None,
+            sweep_position: None,
         }
     }
 
-    /// Endpoints that are here.
+    /// Number of endpoints in the table.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
-    /// None is.
+    /// Whether the table holds no endpoint.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Bytes that all this takes, allocated or not yet used.
+    /// Bytes of memory that the table has allocated, whether in use or not.
     #[must_use]
     pub fn memory_bytes(&self) -> usize {
         let zones: usize = self.zones.iter().map(|z| z.len() + size_of::<Box<str>>()).sum();
         self.records.capacity() * size_of::<Option<Record>>()
             + self.names.capacity()
             + zones
-            + self.others.capacity() * size_of::<Option<IpAddr>>()
+            + self.ipv6_addresses.capacity() * size_of::<Option<IpAddr>>()
             + self.by_name.allocation_size()
             + self.by_destination.allocation_size()
     }
 
-    fn name_of(&self, r: &Record) -> &str {
-        let at = r.name_at as usize;
-        let bytes = self.names.get(at..at + usize::from(r.name_len)).unwrap_or_default();
+    fn name_of(&self, record: &Record) -> &str {
+        let start = record.name_offset as usize;
+        let bytes = self.names.get(start..start + usize::from(record.name_len)).unwrap_or_default();
         std::str::from_utf8(bytes).unwrap_or_default()
     }
 
@@ -145,57 +150,60 @@
         self.records.get(id.0 as usize)
     }
 
-    fn address(&self, r: &Record) -> SocketAddr {
-        let ip = match r.v6 {
-            false => IpAddr::V4(Ipv4Addr::from(r.ip)),
-            true => self.others.get(r.ip as usize).copied().unwrap_or(Ipv4Addr::UNSPECIFIED.into()),
+    fn address(&self, record: &Record) -> SocketAddr {
+        let ip = match record.is_ipv6 {
+            false => IpAddr::V4(Ipv4Addr::from(record.ip)),
+            true => {
+                self.ipv6_addresses.get(record.ip as usize).copied().unwrap_or(Ipv4Addr::UNSPECIFIED.into())
+            }
         };
-        SocketAddr::new(ip, r.port)
+        SocketAddr::new(ip, record.port)
     }
 
-    /// The record of a name.
+    /// The record with this name.
     #[must_use]
     pub fn find(&self, name: &str) -> Option<RosterId> {
         let same = |i: &u32| self.name_of(&self.records[*i as usize]) == name;
         self.by_name.find(self.hash.hash_one(name), same).map(|i| RosterId(*i))
     }
 
-    /// What a record says.
+    /// The contents of a record.
     #[must_use]
     pub fn get(&self, id: RosterId) -> Option<Endpoint<'_>> {
-        let r = self.record(id)?;
+        let record = self.record(id)?;
         Some(Endpoint {
-            name: self.name_of(r),
-            address: self.address(r),
-            zone: self.zones.get(usize::from(r.zone)).map_or("", |z| z),
-            kind: r.kind,
-            destination: r.destination,
-            weight: r.weight,
-            state: r.listing,
+            name: self.name_of(record),
+            address: self.address(record),
+            zone: self.zones.get(usize::from(record.zone)).map_or("", |zone| zone),
+            kind: record.kind,
+            destination: record.destination,
+            weight: record.weight,
+            state: record.state,
         })
     }
 
-    fn first(&self, destination: u64) -> Option<u32> {
+    fn first_of_destination(&self, destination: u64) -> Option<u32> {
         let same = |i: &u32| self.records[*i as usize].destination == destination;
         self.by_destination.find(self.hash.hash_one(destination), same).copied()
     }
 
-    /// The list names this destination.
+    /// Whether an endpoint of this destination is in the table.
     #[must_use]
     pub fn has_destination(&self, destination: u64) -> bool {
-        self.first(destination).is_some()
+        self.first_of_destination(destination).is_some()
     }
 
-    /// The records of a destination, in no order.
+    /// The records of a destination, in no particular order.
     pub fn endpoints_of(&self, destination: u64) -> impl Iterator<Item = RosterId> + '_ {
-        let next = |i: &u32| Some(self.records[*i as usize].next).filter(|n| *n != NONE);
-        std::iter::successors(self.first(destination), next).map(RosterId)
+        let next = |i: &u32| Some(self.records[*i as usize].next).filter(|n| *n != NO_RECORD);
+        std::iter::successors(self.first_of_destination(destination), next).map(RosterId)
     }
 
-    fn zone(&mut self, name: &str) -> Result<u16, EntryError> {
+    /// Returns the index of a zone name, and adds the name if it is new.
+    fn intern_zone(&mut self, name: &str) -> Result<u16, EntryError> {
         let known = self.zones.iter().position(|z| &**z == name);
         if known.is_none() {
-            if self.zones.len() >= ZONES_MOST {
+            if self.zones.len() >= MAX_ZONES {
                 return Err(EntryError::OutOfBounds);
             }
             self.zones.push(name.into());
@@ -203,86 +211,92 @@
         u16::try_from(known.unwrap_or(self.zones.len() - 1)).map_err(|_| EntryError::OutOfBounds)
     }
 
-    fn pack(&mut self, ip: IpAddr) -> (u32, bool) {
+    /// Returns the `ip` and `is_ipv6` fields of a record, and stores an IPv6 address beside it.
+    fn store_ip(&mut self, ip: IpAddr) -> (u32, bool) {
         match ip {
             IpAddr::V4(ip) => (ip.into(), false),
-            other => (self.others.insert(other) as u32, true),
+            other => (self.ipv6_addresses.insert(other) as u32, true),
         }
     }
 
-    /// Takes an entry of the list. What it says of an endpoint that is here takes the place of what was known; one that
-    /// is said to be gone and was never here is nothing.
+    /// Applies an entry of the list. The entry replaces an earlier one of the same name. An entry that is gone and has no
+    /// earlier one is ignored.
     ///
     /// # Errors
-    /// [`Refused`]: the table is as before.
-    pub fn put(&mut self, e: Endpoint<'_>) -> Result<Option<Change>, EntryError> {
+    /// [`EntryError`]; the table is unchanged.
+    pub fn put(&mut self, entry: Endpoint<'_>) -> Result<Option<Change>, EntryError> {
         let epoch = self.epoch;
-        if let Some(id) = self.find(e.name) {
-            return self.update(id, &e, epoch);
+        if let Some(id) = self.find(entry.name) {
+            return self.update(id, &entry, epoch);
         }
-        if e.state == EntryState::Gone {
+        if entry.state == EntryState::Gone {
             return Ok(None);
         }
-        let name_len = u16::try_from(e.name.len()).map_err(|_| EntryError::OutOfBounds)?;
-        if self.records.len() >= self.most || self.names.len() + e.name.len() > NONE as usize {
+        let name_len = u16::try_from(entry.name.len()).map_err(|_| EntryError::OutOfBounds)?;
+        if self.records.len() >= self.max_endpoints
+            || self.names.len() + entry.name.len() > NO_RECORD as usize
+        {
             return Err(EntryError::Full);
         }
-        let zone = self.zone(e.zone)?;
-        let (ip, v6) = self.pack(e.address.ip());
-        let name_at = self.names.len() as u32;
-        self.names.extend_from_slice(e.name.as_bytes());
+        let zone = self.intern_zone(entry.zone)?;
+        let (ip, is_ipv6) = self.store_ip(entry.address.ip());
+        let name_offset = self.names.len() as u32;
+        self.names.extend_from_slice(entry.name.as_bytes());
         let record = Record {
-            destination: e.destination,
-            name_at,
-            next: NONE,
-            weight: e.weight,
+            destination: entry.destination,
+            name_offset,
+            next: NO_RECORD,
+            weight: entry.weight,
             epoch,
             ip,
             name_len,
-            port: e.address.port(),
+            port: entry.address.port(),
             zone,
-            kind: e.kind,
-            v6,
-            listing: e.state,
+            kind: entry.kind,
+            is_ipv6,
+            state: entry.state,
         };
-        let at = self.records.insert(record) as u32;
+        let index = self.records.insert(record) as u32;
         let EndpointTable { by_name, records, names, hash, .. } = self;
         let hash_of = |i: &u32| {
-            let r = &records[*i as usize];
-            let from = r.name_at as usize;
+            let record = &records[*i as usize];
+            let start = record.name_offset as usize;
             hash.hash_one(
-                std::str::from_utf8(&names[from..from + usize::from(r.name_len)]).unwrap_or_default(),
+                std::str::from_utf8(&names[start..start + usize::from(record.name_len)]).unwrap_or_default(),
             )
         };
-        by_name.insert_unique(hash.hash_one(e.name), at, hash_of);
-        self.join(at);
-        Ok(Some(Change::Added(RosterId(at))))
+        by_name.insert_unique(hash.hash_one(entry.name), index, hash_of);
+        self.link(index);
+        Ok(Some(Change::Added(RosterId(index))))
     }
 
-    fn update(&mut self, id: RosterId, e: &Endpoint<'_>, epoch: u32) -> Result<Option<Change>, EntryError> {
-        let (known, destination) = match self.get(id) {
-            Some(known) => (known == *e, known.destination),
+    fn update(
+        &mut self, id: RosterId, entry: &Endpoint<'_>, epoch: u32,
+    ) -> Result<Option<Change>, EntryError> {
+        let (unchanged, destination) = match self.get(id) {
+            Some(known) => (known == *entry, known.destination),
             None => return Ok(None),
         };
-        let at = id.0 as usize;
-        self.records[at].epoch = epoch;
-        if known {
+        let index = id.0 as usize;
+        self.records[index].epoch = epoch;
+        if unchanged {
             return Ok(None);
         }
-        let zone = self.zone(e.zone)?;
-        let was_gone = self.records[at].listing == EntryState::Gone;
-        if destination != e.destination {
-            self.leave(id.0);
-            self.records[at].destination = e.destination;
-            self.join(id.0);
+        let zone = self.intern_zone(entry.zone)?;
+        let was_gone = self.records[index].state == EntryState::Gone;
+        if destination != entry.destination {
+            self.unlink(id.0);
+            self.records[index].destination = entry.destination;
+            self.link(id.0);
         }
-        if self.address(&self.records[at]).ip() != e.address.ip() {
-            self.unpack(id.0);
-            (self.records[at].ip, self.records[at].v6) = self.pack(e.address.ip());
+        if self.address(&self.records[index]).ip() != entry.address.ip() {
+            self.release_ip(id.0);
+            (self.records[index].ip, self.records[index].is_ipv6) = self.store_ip(entry.address.ip());
         }
-        let r = &mut self.records[at];
-        (r.port, r.zone, r.kind, r.weight, r.listing) = (e.address.port(), zone, e.kind, e.weight, e.state);
-        let gone = e.state == EntryState::Gone;
+        let record = &mut self.records[index];
+        (record.port, record.zone, record.kind, record.weight, record.state) =
+            (entry.address.port(), zone, entry.kind, entry.weight, entry.state);
+        let gone = entry.state == EntryState::Gone;
         Ok(if gone && was_gone {
             None
         } else {
@@ -290,34 +304,36 @@
         })
     }
 
-    fn unpack(&mut self, at: u32) {
-        let r = &self.records[at as usize];
-        if r.v6 {
-            self.others.try_remove(r.ip as usize);
+    fn release_ip(&mut self, index: u32) {
+        let record = &self.records[index as usize];
+        if record.is_ipv6 {
+            self.ipv6_addresses.try_remove(record.ip as usize);
         }
     }
 
-    /// Puts a record first among those of its destination.
-    fn join(&mut self, at: u32) {
-        let destination = self.records[at as usize].destination;
+    /// Adds a record to the chain of its destination.
+    fn link(&mut self, index: u32) {
+        let destination = self.records[index as usize].destination;
         let EndpointTable { by_destination, records, hash, .. } = self;
         let key = hash.hash_one(destination);
         match by_destination.find_mut(key, |i| records[*i as usize].destination == destination) {
-            // Behind the first, which the table keeps.
+            // The record goes behind the first one, so that the index in the hash table stays valid.
             Some(first) => {
                 let first = *first as usize;
-                records[at as usize].next = records[first].next;
-                records[first].next = at;
+                records[index as usize].next = records[first].next;
+                records[first].next = index;
             }
             None => {
-                records[at as usize].next = NONE;
-                by_destination.insert_unique(key, at, |i| hash.hash_one(records[*i as usize].destination));
+                records[index as usize].next = NO_RECORD;
+                by_destination.insert_unique(key, index, |i| hash.hash_one(records[*i as usize].destination));
             }
         }
     }
 
-    fn leave(&mut self, at: u32) {
-        let (destination, next) = (self.records[at as usize].destination, self.records[at as usize].next);
+    /// Removes a record from the chain of its destination.
+    fn unlink(&mut self, index: u32) {
+        let (destination, next) =
+            (self.records[index as usize].destination, self.records[index as usize].next);
         let EndpointTable { by_destination, records, hash, .. } = self;
         let key = hash.hash_one(destination);
         let Ok(mut found) =
@@ -325,74 +341,75 @@
         else {
             return;
         };
-        let mut i = *found.get();
-        if i == at {
-            if next == NONE {
+        let mut current = *found.get();
+        if current == index {
+            if next == NO_RECORD {
                 found.remove();
             } else {
                 *found.get_mut() = next;
             }
             return;
         }
-        while records[i as usize].next != at && records[i as usize].next != NONE {
-            i = records[i as usize].next;
+        while records[current as usize].next != index && records[current as usize].next != NO_RECORD {
+            current = records[current as usize].next;
         }
-        if records[i as usize].next == at {
-            records[i as usize].next = next;
+        if records[current as usize].next == index {
+            records[current as usize].next = next;
         }
     }
 
-    /// Forgets an endpoint. Its record may name another from now on.
+    /// Removes an endpoint. Its id may be given to another endpoint from now on.
     pub fn remove(&mut self, id: RosterId) {
-        let Some(r) = self.record(id).copied() else { return };
+        let Some(record) = self.record(id).copied() else { return };
         let EndpointTable { by_name, names, hash, .. } = self;
-        let from = r.name_at as usize;
-        let name = &names[from..from + usize::from(r.name_len)];
+        let start = record.name_offset as usize;
+        let name = &names[start..start + usize::from(record.name_len)];
         let key = hash.hash_one(std::str::from_utf8(name).unwrap_or_default());
         if let Ok(found) = by_name.find_entry(key, |i| *i == id.0) {
             found.remove();
         }
-        self.leave(id.0);
-        self.unpack(id.0);
+        self.unlink(id.0);
+        self.release_ip(id.0);
         self.records.remove(id.0 as usize);
-        self.dead_names += usize::from(r.name_len);
-        if self.dead_names > SLACK && self.dead_names * 2 > self.names.len() {
-            self.repack();
+        self.dead_name_bytes += usize::from(record.name_len);
+        if self.dead_name_bytes > MAX_DEAD_NAME_BYTES && self.dead_name_bytes * 2 > self.names.len() {
+            self.compact_names();
         }
     }
 
-    /// Makes the arena anew from the names that are here.
-    fn repack(&mut self) {
-        let mut names = Vec::with_capacity(self.names.len() - self.dead_names);
-        for (_, r) in &mut self.records {
-            let from = r.name_at as usize;
-            let name = &self.names[from..from + usize::from(r.name_len)];
-            r.name_at = names.len() as u32;
+    /// Rebuilds the arena of names from the records in the table.
+    fn compact_names(&mut self) {
+        let mut names = Vec::with_capacity(self.names.len() - self.dead_name_bytes);
+        for (_, record) in &mut self.records {
+            let start = record.name_offset as usize;
+            let name = &self.names[start..start + usize::from(record.name_len)];
+            record.name_offset = names.len() as u32;
             names.extend_from_slice(name);
         }
-        (self.names, self.dead_names) = (names, 0);
+        (self.names, self.dead_name_bytes) = (names, 0);
     }
 
-    /// A whole list follows, by [`Roster::put`].
+    /// Begins a complete list: its entries follow by [`EndpointTable::put`].
     pub fn begin_complete_list(&mut self) {
         self.epoch = self.epoch.wrapping_add(1);
-        self.sweep = Some(0);
+        self.sweep_position = Some(0);
     }
 
-    /// The whole list has ended: looks at so many records more for those that it did not name, which are gone. True
-    /// once all have been looked at. Entries of later lists that only tell changes may come in between.
-    pub fn sweep(&mut self, most: usize, gone: &mut Vec<Change>) -> bool {
-        let Some(from) = self.sweep else { return true };
-        // Numbers that name no record now are passed over, at little cost.
-        let to = (from.saturating_add(most.max(1))).min(self.records.capacity());
-        for at in from..to {
-            let Some(r) = self.records.get_mut(at) else { continue };
-            if r.epoch != self.epoch && r.listing != EntryState::Gone {
-                r.listing = EntryState::Gone;
-                gone.push(Change::Gone(RosterId(at as u32)));
+    /// Called after the last entry of a complete list. Checks up to `max_records` further records; those that the list did
+    /// not name are gone. Returns true once all records have been checked. Entries of later lists that hold only changes
+    /// may come in between.
+    pub fn sweep(&mut self, max_records: usize, gone: &mut Vec<Change>) -> bool {
+        let Some(start) = self.sweep_position else { return true };
+        // Unused indices are counted as well; skipping them costs little.
+        let end = (start.saturating_add(max_records.max(1))).min(self.records.capacity());
+        for index in start..end {
+            let Some(record) = self.records.get_mut(index) else { continue };
+            if record.epoch != self.epoch && record.state != EntryState::Gone {
+                record.state = EntryState::Gone;
+                gone.push(Change::Gone(RosterId(index as u32)));
             }
         }
-        self.sweep = Some(to).filter(|to| *to < self.records.capacity());
-        self.sweep.is_none()
+        self.sweep_position = Some(end).filter(|end| *end < self.records.capacity());
+        self.sweep_position.is_none()
     }
 }
