--- a/roster/src/active.rs
+++ b/roster/src/active.rs
@@ -4,8 +4,8 @@
 use onyxrock::interface::Micros;
 use std::collections::BTreeSet;
 
-/// Destinations in use, each with the time of its last use, and one ordered set of idle checks. A use costs one look-up: a
-/// destination's idle check is moved only when it is due.
+/// Destinations in use, each with the time of its last use, and one ordered set of idle checks. A use costs
+/// one look-up: a destination's idle check is moved only when it is due.
 #[derive(Debug, Default)]
 pub struct ActiveDestinations {
     /// A destination that has been idle for this long may be deactivated. `None`: destinations stay active.
@@ -44,8 +44,9 @@
         }
         activated
     }
-    /// Returns a destination that has been idle for long enough. The destination stays active until the caller calls
-    /// [`ActiveDestinations::deactivate`]; until then it is returned again after each further idle period.
+    /// Returns a destination that has been idle for long enough. The destination stays active until the
+    /// caller calls [`ActiveDestinations::deactivate`]; until then it is returned again after each further
+    /// idle period.
     pub fn next_idle(&mut self, now: Micros) -> Option<u64> {
         let idle_time = self.deactivate_after?;
         while let Some((at, destination)) = self.idle_checks.first().copied().filter(|check| check.0 <= now) {
@@ -60,8 +61,8 @@
         }
         None
     }
-    /// Removes a destination that the caller has deactivated, at the time at which [`ActiveDestinations::next_idle`]
-    /// returned it.
+    /// Removes a destination that the caller has deactivated, at the time at which
+    /// [`ActiveDestinations::next_idle`] returned it.
     pub fn deactivate(&mut self, now: Micros, destination: u64) {
         self.last_use.remove(&destination);
         if let Some(idle_time) = self.deactivate_after {
--- a/roster/src/directory.rs
+++ b/roster/src/directory.rs
@@ -1,4 +1,5 @@
-//! The directory of endpoints: which are listed, which are in use, and what a change of the list means for the latter.
+//! The directory of endpoints: which are listed, which are in use, and what a change of the list means for
+//! the latter.
 
 use crate::active::ActiveDestinations;
 use crate::health_store::{HealthDecay, HealthKey, HealthStore};
@@ -10,20 +11,24 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// An active endpoint that is gone is kept for this long (3 s), for calls that are still to be written or to end.
+/// An active endpoint that is gone is kept for this long (3 s), for calls that are still to be written or to
+/// end.
 const GONE_ENDPOINT_RETENTION: Micros = Micros(3_000_000);
 
-/// How long the receiver id of a released endpoint, and a destination that was removed from the list, are remembered
-/// (75 s). The core forgets an endpoint one minute after its last use; both are kept longer than that.
+/// How long the receiver id of a released endpoint, and a destination that was removed from the list, are
+/// remembered (75 s). The core forgets an endpoint one minute after its last use; both are kept longer than
+/// that.
 const REMOVED_NAME_RETENTION: Micros = Micros(75_000_000);
 
-/// Bound on the remembered destinations that have left the list. Those that are still active are kept beyond it.
+/// Bound on the remembered destinations that have left the list. Those that are still active are kept beyond
+/// it.
 const MAX_REMOVED_DESTINATIONS: usize = 16_384;
 
 /// Parameters of a [`Directory`].
 #[derive(Clone, Debug)]
 pub struct DirectorySettings {
-    /// Bound on the endpoints that the list may name. While one complete list replaces another, both are held.
+    /// Bound on the endpoints that the list may name. While one complete list replaces another, both are
+    /// held.
     pub max_endpoints: usize,
     /// A destination that has been idle for this long may be deactivated. `None`: destinations stay active.
     pub deactivate_after: Option<Micros>,
@@ -104,8 +109,8 @@
     Unknown,
 }
 
-/// All endpoints: the listed ones in an [`EndpointTable`], and those in use as [`ActiveEndpoint`]s with the receiver ids
-/// that the core knows.
+/// All endpoints: the listed ones in an [`EndpointTable`], and those in use as [`ActiveEndpoint`]s with the
+/// receiver ids that the core knows.
 #[derive(Debug)]
 pub struct Directory {
     settings: DirectorySettings,
@@ -113,12 +118,14 @@
     active_destinations: ActiveDestinations,
     health_store: HealthStore,
     pub(crate) active_endpoints: BTreeMap<ReceiverId, ActiveEndpoint>,
-    /// Receiver ids by endpoint name. An endpoint that is gone keeps its id for a while, because the core still holds
-    /// retry-afters under it.
+    /// Receiver ids by endpoint name. An endpoint that is gone keeps its id for a while, because the core
+    /// still holds retry-afters under it.
     pub(crate) receiver_ids: HashMap<String, ReceiverId>,
-    /// Names of endpoints that operators have taken out of use: they count as draining, whatever the list says.
+    /// Names of endpoints that operators have taken out of use: they count as draining, whatever the list
+    /// says.
     pub(crate) maintenance: BTreeSet<String>,
-    /// Endpoints that drain by a list that another process of this forwarder has received, with its generation.
+    /// Endpoints that drain by a list that another process of this forwarder has received, with its
+    /// generation.
     pub(crate) sibling_drains: BTreeMap<String, u64>,
     /// List entries that the core has been given for the fixed endpoints.
     pub(crate) fixed_entries: BTreeMap<ReceiverId, ListEntry>,
@@ -129,8 +136,8 @@
     receiver_id_expiry: BTreeSet<(Micros, String)>,
     /// Destinations that have left the list, with the time until which that is remembered.
     removed_destinations: HashMap<u64, Micros>,
-    /// The entries of `removed_destinations` in the order of their times; entries that were replaced or removed there
-    /// are skipped.
+    /// The entries of `removed_destinations` in the order of their times; entries that were replaced or
+    /// removed there are skipped.
     removed_order: VecDeque<(Micros, u64)>,
     /// Destinations of the fixed endpoints.
     fixed_destinations: BTreeSet<u64>,
@@ -286,8 +293,8 @@
         self.active_endpoints.get(&receiver).is_some_and(|e| e.fixed)
     }
 
-    /// The list entry of an endpoint as the core is given it. An endpoint that the list has as ready counts as draining
-    /// while it is in maintenance, or drains by the list of another process.
+    /// The list entry of an endpoint as the core is given it. An endpoint that the list has as ready counts
+    /// as draining while it is in maintenance, or drains by the list of another process.
     pub(crate) fn list_entry(&self, receiver: ReceiverId, endpoint: &Endpoint<'_>) -> ListEntry {
         let held_out = endpoint.state == EntryState::Ready
             && (self.maintenance.contains(endpoint.name) || self.sibling_drains.contains_key(endpoint.name));
@@ -322,7 +329,8 @@
         let known = self.receiver_ids.get(listed.name).copied();
         let receiver = known.unwrap_or(ReceiverId(self.last_receiver_id + 1));
         let entry = self.list_entry(receiver, &listed);
-        // The drain of an endpoint that drains already counts from time 0: no time is left in which a call may be sent.
+        // The drain of an endpoint that drains already counts from time 0: no time is left in which a call
+        // may be sent.
         let draining_since = (entry.state != EntryState::Ready).then_some(Micros(0));
         let (name, zone) = (listed.name.to_owned(), listed.zone.to_owned());
         let (destination, address) = (listed.destination, listed.address);
@@ -386,8 +394,8 @@
         Ok(())
     }
 
-    /// Called after the last entry of a complete list. Checks up to `max_records` records for endpoints that the list
-    /// did not name, which are gone. Returns true once all records have been checked.
+    /// Called after the last entry of a complete list. Checks up to `max_records` records for endpoints that
+    /// the list did not name, which are gone. Returns true once all records have been checked.
     pub fn sweep(&mut self, now: Micros, max_records: usize, output: &mut DirectoryOutput) -> bool {
         let mut gone = Vec::new();
         let done = self.table.sweep(max_records, &mut gone);
@@ -410,7 +418,8 @@
         let (destination, receiver) = (listed.destination, self.receiver_ids.get(listed.name).copied());
         let in_use = receiver.and_then(|receiver| Some((receiver, self.active_endpoints.get(&receiver)?)));
         match (change, in_use) {
-            // The endpoint has moved to another destination. What the core knows of it belongs to the previous one.
+            // The endpoint has moved to another destination. What the core knows of it belongs to the
+            // previous one.
             (_, Some((receiver, active))) if active.destination != destination && !active.fixed => {
                 let (previous, name) = (active.destination, active.name.clone());
                 // Only the retry-after is kept, because the endpoint itself sent it.
@@ -492,7 +501,8 @@
         let until = now.plus(REMOVED_NAME_RETENTION);
         self.removed_destinations.insert(destination, until);
         self.removed_order.push_back((until, destination));
-        // Over the bound the oldest are forgotten first; active destinations are kept until they are deactivated.
+        // Over the bound the oldest are forgotten first; active destinations are kept until they are
+        // deactivated.
         let mut checks = self.removed_order.len().saturating_sub(MAX_REMOVED_DESTINATIONS).min(2);
         while checks > 0
             && let Some((until, destination)) = self.removed_order.pop_front()
@@ -506,8 +516,9 @@
         }
     }
 
-    /// Releases active endpoints that are gone. The endpoint is released once it has no call in flight and no call may
-    /// still request a permit to be written to it; its receiver id is released once the core has forgotten it as well.
+    /// Releases active endpoints that are gone. The endpoint is released once it has no call in flight and no
+    /// call may still request a permit to be written to it; its receiver id is released once the core has
+    /// forgotten it as well.
     pub fn release_gone_endpoints(&mut self, now: Micros, output: &mut DirectoryOutput) {
         while let Some((at, receiver)) = self.release_checks.first().copied().filter(|check| check.0 <= now) {
             self.release_checks.remove(&(at, receiver));
@@ -518,8 +529,8 @@
             }
             if let Some(active) = self.active_endpoints.remove(&receiver) {
                 output.commands.push(EndpointCommand::Close(receiver));
-                let expiry = now.plus(REMOVED_NAME_RETENTION).max(active.wait_until);
-                self.receiver_id_expiry.insert((expiry, active.name));
+                self.receiver_id_expiry
+                    .insert((now.plus(REMOVED_NAME_RETENTION).max(active.wait_until), active.name));
             }
         }
         while self.receiver_id_expiry.first().is_some_and(|(expiry, _)| *expiry <= now) {
@@ -557,8 +568,8 @@
         }
     }
 
-    /// Deactivates a destination that the core has forgotten, and stores the health that the core had of it and of its
-    /// endpoints.
+    /// Deactivates a destination that the core has forgotten, and stores the health that the core had of it
+    /// and of its endpoints.
     pub fn deactivate(
         &mut self, now: Micros, destination: u64, health: RetainedHealth,
         endpoints: &[(ReceiverId, RetainedHealth)], output: &mut DirectoryOutput,
--- a/roster/src/health_store.rs
+++ b/roster/src/health_store.rs
@@ -1,4 +1,5 @@
-//! The health that is kept of deactivated destinations and endpoints, and how it decays until they become active again.
+//! The health that is kept of deactivated destinations and endpoints, and how it decays until they become
+//! active again.
 
 use hashbrown::HashMap;
 use onyxrock::interface::{Micros, RetainedHealth};
@@ -45,8 +46,8 @@
         }
     }
 
-    /// The health after decay: the rate halves with each half-life, and is zero if the endpoint was unhealthy. If the clock
-    /// has gone back, the age counts as zero.
+    /// The health after decay: the rate halves with each half-life, and is zero if the endpoint was
+    /// unhealthy. If the clock has gone back, the age counts as zero.
     #[must_use]
     pub fn decayed(&self, now: Micros, terms: HealthDecay) -> RetainedHealth {
         let age = now.since(self.deactivated_at);
@@ -67,8 +68,8 @@
     }
 }
 
-/// Identifies what stored health belongs to. Endpoints are identified by name, because a route may leave the list and come
-/// back under its name before its retry-after has ended.
+/// Identifies what stored health belongs to. Endpoints are identified by name, because a route may leave the
+/// list and come back under its name before its retry-after has ended.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 pub enum HealthKey {
     /// A destination, by its number.
@@ -77,13 +78,14 @@
     Endpoint(Box<str>),
 }
 
-/// Stored health of all deactivated destinations and their endpoints. Stale entries are removed as the store grows.
+/// Stored health of all deactivated destinations and their endpoints. Stale entries are removed as the store
+/// grows.
 #[derive(Debug, Default)]
 pub struct HealthStore {
     decay: HealthDecay,
     entries: HashMap<HealthKey, StoredHealth>,
-    /// Number of entries after the last removal of stale ones. The next removal waits until that number has doubled, so
-    /// that its cost is proportional to the entries added since.
+    /// Number of entries after the last removal of stale ones. The next removal waits until that number has
+    /// doubled, so that its cost is proportional to the entries added since.
     len_after_cleanup: usize,
     /// Number of changes since the start of the process.
     changes: u64,
@@ -105,8 +107,9 @@
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
-    /// Stores the health of a destination or endpoint, unless it is stale already. Once there are twice as many entries as
-    /// were left by the last removal of stale ones (and more than 1,024), stale entries are removed again: amortized O(1).
+    /// Stores the health of a destination or endpoint, unless it is stale already. Once there are twice as
+    /// many entries as were left by the last removal of stale ones (and more than 1,024), stale entries are
+    /// removed again: amortized O(1).
     pub fn store(&mut self, now: Micros, key: HealthKey, health: RetainedHealth) {
         let stored = StoredHealth::capture(now, health);
         if stored.is_stale(now, self.decay) {
--- a/roster/src/lib.rs
+++ b/roster/src/lib.rs
@@ -1,24 +1,28 @@
-//! The endpoints that the endpoint list names, and the health of those that are not in use. This crate does no I/O,
-//! reads no clock and runs no task.
+//! The endpoints that the endpoint list names, and the health of those that are not in use. This crate does
+//! no I/O, reads no clock and runs no task.
 //!
-//! A network may list tens of thousands of endpoints of which a hundred are in use. An endpoint in use has an actor, a
-//! mailbox, connections, and state in the core. An endpoint that is not in use costs its record in a table and no more.
+//! A network may list tens of thousands of endpoints of which a hundred are in use. An endpoint in use has an
+//! actor, a mailbox, connections, and state in the core. An endpoint that is not in use costs its record in a
+//! table and no more.
 //!
-//! - [`EndpointTable`] is that table. It has a fixed-size record for each endpoint, one arena for all names, and
-//!   interned zones; hash tables of record indices find a record by name or by destination. A complete list is applied
-//!   as a difference: [`EndpointTable::begin_complete_list`], [`EndpointTable::put`] for each entry, then
-//!   [`EndpointTable::sweep`] in slices for endpoints that the list no longer names. Each call returns [`Change`]s, so
-//!   that no caller has to walk the whole table.
-//! - [`Directory`] combines the parts: it takes list entries and each use of a destination, and returns commands for the
-//!   endpoints in use ([`EndpointCommand`]) and updates for the core ([`DirectoryOutput`], [`ActivatedDestination`]).
-//!   Operators may take endpoints out of use for maintenance ([`Directory::set_maintenance`]); a list does not undo that.
+//! - [`EndpointTable`] is that table. It has a fixed-size record for each endpoint, one arena for all names,
+//!   and interned zones; hash tables of record indices find a record by name or by destination. A complete
+//!   list is applied as a difference: [`EndpointTable::begin_complete_list`], [`EndpointTable::put`] for each
+//!   entry, then [`EndpointTable::sweep`] in slices for endpoints that the list no longer names. Each call
+//!   returns [`Change`]s, so that no caller has to walk the whole table.
+//! - [`Directory`] combines the parts: it takes list entries and each use of a destination, and returns
+//!   commands for the endpoints in use ([`EndpointCommand`]) and updates for the core ([`DirectoryOutput`],
+//!   [`ActivatedDestination`]). Operators may take endpoints out of use for maintenance
+//!   ([`Directory::set_maintenance`]); a list does not undo that.
 //! - [`StagedList`] holds a list while it is read, because the table applies a list as a whole or not at all.
-//! - [`ActiveDestinations`] tracks which destinations are in use, and which have been idle long enough to be deactivated.
-//! - [`StoredHealth`] is the health kept of a deactivated destination or endpoint: its served rate, a retry-after that
-//!   it sent, and whether it was unhealthy. The rate halves with each half-life, and after a few half-lives only the
-//!   caution remains that applies to any destination that has not been used for a while. [`HealthStore`] holds them.
-//! - [`SnapshotWriter`] encodes stored health as the blocks of a file, and [`read_snapshot`] decodes the file or returns
-//!   what is wrong with it.
+//! - [`ActiveDestinations`] tracks which destinations are in use, and which have been idle long enough to be
+//!   deactivated.
+//! - [`StoredHealth`] is the health kept of a deactivated destination or endpoint: its served rate, a
+//!   retry-after that it sent, and whether it was unhealthy. The rate halves with each half-life, and after a
+//!   few half-lives only the caution remains that applies to any destination that has not been used for a
+//!   while. [`HealthStore`] holds them.
+//! - [`SnapshotWriter`] encodes stored health as the blocks of a file, and [`read_snapshot`] decodes the file
+//!   or returns what is wrong with it.
 //!
 //! ```
 //! use onyxrock::interface::EntryState;
--- a/roster/src/maintenance.rs
+++ b/roster/src/maintenance.rs
@@ -1,5 +1,6 @@
-//! Endpoints that operators take out of use for maintenance and put back. An endpoint in maintenance counts as draining
-//! until it is put back, whatever lists say of it meanwhile: that it is ready, gone, or back at another address.
+//! Endpoints that operators take out of use for maintenance and put back. An endpoint in maintenance counts
+//! as draining until it is put back, whatever lists say of it meanwhile: that it is ready, gone, or back at
+//! another address.
 
 use crate::directory::{Directory, DirectoryOutput};
 use onyxrock::interface::{EntryState, ListEntry, Micros, ReceiverId};
@@ -27,7 +28,8 @@
         if known { Ok(()) } else { Err(UnknownEndpoint) }
     }
 
-    /// Takes an endpoint out of use, or puts it back. If the endpoint is in that state already, this has no effect.
+    /// Takes an endpoint out of use, or puts it back. If the endpoint is in that state already, this has no
+    /// effect.
     pub fn set_maintenance(
         &mut self, now: Micros, name: &str, in_maintenance: bool, output: &mut DirectoryOutput,
     ) {
@@ -43,8 +45,8 @@
         }
     }
 
-    /// Another process of this forwarder received a list of this generation by which an endpoint drains. The endpoint
-    /// counts as draining here until the list of this process has reached that generation.
+    /// Another process of this forwarder received a list of this generation by which an endpoint drains. The
+    /// endpoint counts as draining here until the list of this process has reached that generation.
     pub fn on_sibling_drain(
         &mut self, now: Micros, name: &str, generation: u64, output: &mut DirectoryOutput,
     ) {
@@ -54,8 +56,8 @@
         }
     }
 
-    /// The list of this process has reached a generation, or (`None`) comes from another source, whose generations
-    /// cannot be compared with earlier ones.
+    /// The list of this process has reached a generation, or (`None`) comes from another source, whose
+    /// generations cannot be compared with earlier ones.
     pub fn on_list_generation(&mut self, now: Micros, generation: Option<u64>, output: &mut DirectoryOutput) {
         let is_later =
             |drain_generation: &u64| generation.is_some_and(|generation| *drain_generation > generation);
--- a/roster/src/snapshot.rs
+++ b/roster/src/snapshot.rs
@@ -1,5 +1,5 @@
-//! The file format of stored health: a header with a version, blocks with their length and checksum, and an empty block at
-//! the end, so that a truncated file is detected.
+//! The file format of stored health: a header with a version, blocks with their length and checksum, and an
+//! empty block at the end, so that a truncated file is detected.
 
 use crate::health_store::{HealthKey, StoredHealth};
 use onyxrock::interface::Micros;
@@ -30,7 +30,8 @@
     unhealthy: bool,
 }
 
-/// Encodes stored health as a file of bounded length, block by block. The entries that were deactivated last come first.
+/// Encodes stored health as a file of bounded length, block by block. The entries that were deactivated last
+/// come first.
 #[derive(Debug)]
 pub struct SnapshotWriter {
     remaining: std::vec::IntoIter<(HealthKey, StoredHealth)>,
@@ -192,7 +193,8 @@
         assert!(read_snapshot(&encode(sample_entries(9), 0).0).unwrap().is_empty(), "no entry fits");
     }
 
-    /// Each truncation and a flipped bit in each byte are detected; nothing of such a file is used, and nothing panics.
+    /// Each truncation and a flipped bit in each byte are detected; nothing of such a file is used, and
+    /// nothing panics.
     #[test]
     fn a_damaged_file_is_refused() {
         let bytes = encode(sample_entries(300), 1 << 20).0;
--- a/roster/src/staged_list.rs
+++ b/roster/src/staged_list.rs
@@ -4,8 +4,8 @@
 use onyxrock::interface::EntryState;
 use std::net::SocketAddr;
 
-/// Entries of one block. A block is what the table applies at a time, and is small enough for the allocator to reuse the
-/// memory of freed blocks.
+/// Entries of one block. A block is what the table applies at a time, and is small enough for the allocator
+/// to reuse the memory of freed blocks.
 const BLOCK_ENTRIES: usize = 256;
 
 #[derive(Clone, Copy, Debug)]
@@ -29,8 +29,8 @@
     entries: Vec<StagedEntry>,
 }
 
-/// Entries of a list that is still being read; the table applies a list as a whole or not at all. Each block is freed as
-/// soon as it has been applied, so that a long list is not held twice.
+/// Entries of a list that is still being read; the table applies a list as a whole or not at all. Each block
+/// is freed as soon as it has been applied, so that a long list is not held twice.
 #[derive(Debug, Default)]
 pub struct StagedList {
     max_entries: usize,
--- a/roster/src/table.rs
+++ b/roster/src/table.rs
@@ -6,7 +6,8 @@
 use std::hash::BuildHasher;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// Identifies the record of an endpoint. Once the record has been removed, the id may be given to another endpoint.
+/// Identifies the record of an endpoint. Once the record has been removed, the id may be given to another
+/// endpoint.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct RosterId(u32);
 
@@ -36,7 +37,8 @@
     Added(RosterId),
     /// The endpoint's state, address, zone, kind, weight or destination has changed.
     Changed(RosterId),
-    /// The list no longer names the endpoint, or names it as gone. Its record stays until [`EndpointTable::remove`].
+    /// The list no longer names the endpoint, or names it as gone. Its record stays until
+    /// [`EndpointTable::remove`].
     Gone(RosterId),
 }
 
@@ -55,7 +57,8 @@
 /// Bound on the distinct zone names. A network has few zones; more mean that the list is malformed.
 const MAX_ZONES: usize = 4096;
 
-/// The arena of names is compacted once removed names take more than this many bytes and more than half of it.
+/// The arena of names is compacted once removed names take more than this many bytes and more than half of
+/// it.
 const MAX_DEAD_NAME_BYTES: usize = 64 * 1024;
 
 #[derive(Clone, Copy, Debug)]
@@ -219,8 +222,8 @@
         }
     }
 
-    /// Applies an entry of the list. The entry replaces an earlier one of the same name. An entry that is gone and has no
-    /// earlier one is ignored.
+    /// Applies an entry of the list. The entry replaces an earlier one of the same name. An entry that is
+    /// gone and has no earlier one is ignored.
     ///
     /// # Errors
     /// [`EntryError`]; the table is unchanged.
@@ -395,9 +398,9 @@
         self.sweep_position = Some(0);
     }
 
-    /// Called after the last entry of a complete list. Checks up to `max_records` further records; those that the list did
-    /// not name are gone. Returns true once all records have been checked. Entries of later lists that hold only changes
-    /// may come in between.
+    /// Called after the last entry of a complete list. Checks up to `max_records` further records; those that
+    /// the list did not name are gone. Returns true once all records have been checked. Entries of later
+    /// lists that hold only changes may come in between.
     pub fn sweep(&mut self, max_records: usize, gone: &mut Vec<Change>) -> bool {
         let Some(start) = self.sweep_position else { return true };
         // Unused indices are counted as well; skipping them costs little.
