--- a/config/src/duties.rs
+++ b/config/src/duties.rs
@@ -1,4 +1,4 @@
-//! `[duties]`: which instances share their periodic duties, and how.
+//! `[duties]`: the forwarders (members) that share periodic duties, and how they share them.
 
 use crate::product::{InvalidValue, Seconds};
 use onyxrock::interface::Micros;
@@ -9,49 +9,55 @@
 use std::ops::Range;
 use toml::Spanned;
 
-/// Names cross the wire in every datagram.
-const NAME_MOST: usize = 64;
+/// Bound on the length of a member name. It is short because every datagram carries names.
+const MAX_NAME_BYTES: usize = 64;
 
+/// The checked section.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DutySettings {
-    /// Where other members' datagrams come to (UDP).
+    /// UDP address that receives the datagrams of other members.
     pub listen: SocketAddr,
-    /// Every member, this one included, in the same order at all of them.
+    /// Every member, including this one. All members must list them in the same order.
     pub members: Vec<NamedMember>,
-    /// The first so many of them decide who holds a lease.
+    /// Number of voters: the first members in the list, which decide who holds a lease.
     pub voter_count: usize,
-    /// How long a lease holds without renewal.
+    /// How long a lease is valid without renewal.
     pub lease_duration: Micros,
+    /// How endpoints are probed.
     pub probe: ProbeSettings,
-    /// One instance asks for the list and tells the others.
+    /// One member requests the list and sends it to the others.
     pub share_list: bool,
-    /// One instance at a time leads the fleet.
+    /// One member at a time is the coordinator of the fleet.
     pub elect_coordinator: bool,
-    /// Keys that a datagram may be signed with, and the one that this instance signs with.
+    /// Keys that are accepted on datagrams, and the key that this member signs with.
     pub keys: Keys,
 }
 
+/// A member of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NamedMember {
+    /// Unique name of the member.
     pub name: String,
+    /// UDP address of the member.
     pub address: SocketAddr,
 }
 
-/// How a partner that is doubted or returning is probed.
+/// How a partner's endpoint is probed while it is suspected, or returns from an outage.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProbeSettings {
-    /// Probes a second at one partner, from all instances together.
+    /// Probes per second to one partner, from all members together.
     pub per_s: f64,
-    /// How long a probe waits for its answer.
+    /// How long a probe waits for its response.
     pub timeout: Micros,
-    /// What is asked for.
+    /// Path that a probe requests.
     pub path: String,
-    /// Each instance probes on its own account, with no leases: for comparison.
+    /// Each member probes independently, without leases. This exists for comparison.
     pub without_leases: bool,
 }
 
 impl DutySettings {
-    /// What another reading of the file says otherwise and only a new start can take over: all but the keys.
+    /// Whether a new version of the section differs in a value that takes effect only at the next start.
+    /// These are all values except the keys.
     #[must_use]
     pub fn requires_restart(&self, new: &DutySettings) -> bool {
         *self != DutySettings { keys: self.keys.clone(), ..new.clone() }
@@ -106,59 +112,67 @@
     }
 }
 
-/// Unless fewer are members; more make every renewal dearer and an outage of a majority rarer.
-const VOTERS: usize = 5;
-const LEASE: Seconds = Seconds(Micros(3_000_000));
-const PATIENCE: Seconds = Seconds(Micros(1_000_000));
-const PATH: &str = "/health";
+/// Number of voters by default, or all members if there are fewer. More voters make each renewal more
+/// expensive, and an outage of a majority less likely.
+const DEFAULT_VOTERS: usize = 5;
 
-/// Over 0, at most 100 a second: it is a look, not a load.
+/// Lease duration by default (3 s).
+const DEFAULT_LEASE: Seconds = Seconds(Micros(3_000_000));
+
+/// Timeout of a probe by default (1 s).
+const DEFAULT_PROBE_TIMEOUT: Seconds = Seconds(Micros(1_000_000));
+
+/// Path of a probe by default.
+const DEFAULT_PROBE_PATH: &str = "/health";
+
+/// A probe rate over 0 and at most 100 per second: a probe must not add load.
 struct Pace(f64);
 
 impl<'de> Deserialize<'de> for Pace {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Pace, D::Error> {
-        let n = f64::deserialize(d)?;
-        if n > 0.0 && n <= 100.0 {
-            Ok(Pace(n))
+        let per_s = f64::deserialize(d)?;
+        if per_s > 0.0 && per_s <= 100.0 {
+            Ok(Pace(per_s))
         } else {
             Err(de::Error::custom("must be over 0 and at most 100"))
         }
     }
 }
 
-/// 32 bytes as 64 hexadecimal digits. What is wrong with it is told without repeating it.
+/// 32 bytes, written as 64 hexadecimal digits. Errors never repeat the text of a secret.
 struct Secret([u8; 32]);
 
 impl<'de> Deserialize<'de> for Secret {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Secret, D::Error> {
         let text = String::deserialize(d)?;
         let mut bytes = [0; 32];
-        let well = text.len() == 64
+        let valid = text.len() == 64
             && text.is_ascii()
             && bytes
                 .iter_mut()
                 .enumerate()
-                .all(|(i, b)| u8::from_str_radix(&text[i * 2..i * 2 + 2], 16).map(|n| *b = n).is_ok());
-        if well { Ok(Secret(bytes)) } else { Err(de::Error::custom("must be 64 hexadecimal digits")) }
+                .all(|(i, byte)| u8::from_str_radix(&text[i * 2..i * 2 + 2], 16).map(|n| *byte = n).is_ok());
+        if valid { Ok(Secret(bytes)) } else { Err(de::Error::custom("must be 64 hexadecimal digits")) }
     }
 }
 
 impl Raw {
-    /// `at` is where the section stands; `members` reads those that a service of the zone in `[dns]` names.
+    /// Checks the section. `span` is its byte range in the file; `members_of` looks up the members that a
+    /// service of the zone in `[dns]` names.
     pub(crate) fn check(
-        self, at: Range<usize>, members_of: impl Fn(&str) -> Option<Result<Vec<NamedMember>, String>>,
+        self, span: Range<usize>, members_of: impl Fn(&str) -> Option<Result<Vec<NamedMember>, String>>,
     ) -> Result<DutySettings, InvalidValue> {
         let mut members = Vec::new();
         let mut seen = BTreeSet::new();
-        for m in self.member {
-            let name = m.name.get_ref();
-            if name.is_empty() || name.len() > NAME_MOST || !name.bytes().all(|b| b.is_ascii_graphic()) {
-                return Err(InvalidValue::new(&m.name, "must be 1 to 64 printable characters"));
+        for member in self.member {
+            let name = member.name.get_ref();
+            if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.bytes().all(|b| b.is_ascii_graphic()) {
+                return Err(InvalidValue::new(&member.name, "must be 1 to 64 printable characters"));
             }
             if !seen.insert(name.clone()) {
-                return Err(InvalidValue::new(&m.name, format!("\"{name}\" stands here twice")));
+                return Err(InvalidValue::new(&member.name, format!("\"{name}\" is given twice")));
             }
-            members.push(NamedMember { name: name.clone(), address: m.address });
+            members.push(NamedMember { name: name.clone(), address: member.address });
         }
         if let Some(from) = &self.members_from {
             let found = members_of(from.get_ref());
@@ -168,55 +182,56 @@
             members.extend(found.into_iter().filter(|m| seen.insert(m.name.clone())));
         }
         if members.is_empty() {
-            return Err(InvalidValue {
-                span: at,
-                message: "no [[duties.member]] and no members_from".into(),
-            });
+            return Err(InvalidValue { span, message: "no [[duties.member]] and no members_from".into() });
         }
-        let voters = self.voters.as_ref().map_or(members.len().min(VOTERS), |v| *v.get_ref() as usize);
+        let voter_count = self
+            .voters
+            .as_ref()
+            .map_or(members.len().min(DEFAULT_VOTERS), |voters| *voters.get_ref() as usize);
         if let Some(given) = &self.voters {
-            if voters == 0 {
+            if voter_count == 0 {
                 return Err(InvalidValue::new(given, "must be 1 at least"));
             }
-            // A majority of those that are named could not be made of those that there are.
-            if voters > members.len() {
+            // With more voters than members, no majority of voters could be reached.
+            if voter_count > members.len() {
                 return Err(InvalidValue::new(given, format!("there are only {} members", members.len())));
             }
         }
         let mut seen = BTreeSet::new();
-        if let Some(k) = self.key.iter().find(|k| !seen.insert(*k.id.get_ref())) {
-            return Err(InvalidValue::new(&k.id, format!("key {} stands here twice", k.id.get_ref())));
+        if let Some(key) = self.key.iter().find(|key| !seen.insert(*key.id.get_ref())) {
+            return Err(InvalidValue::new(&key.id, format!("key {} is given twice", key.id.get_ref())));
         }
-        let keys = self.key.into_iter().map(|k| Key { id: k.id.into_inner(), secret: k.secret.0 });
+        let keys = self.key.into_iter().map(|key| Key { id: key.id.into_inner(), secret: key.secret.0 });
         let keys = Keys::new(*self.sign.get_ref(), keys);
-        let keys = keys.map_err(|NoKey| {
-            InvalidValue::new(&self.sign, format!("there is no key {}", self.sign.get_ref()))
+        let keys = keys.map_err(|MissingSigningKey| {
+            InvalidValue::new(&self.sign, format!("there is no key with the id {}", self.sign.get_ref()))
         })?;
-        let lease = self.lease_s.as_ref().map_or(LEASE, |l| *l.get_ref());
-        let patience = self.probe.patience_s.as_ref().map_or(PATIENCE, |p| *p.get_ref());
-        // A probe starts only where its whole patience fits into the lease that is left.
-        if patience.0 >= Micros(lease.0.0 / 2) {
-            let at = self.lease_s.or(self.probe.patience_s).map_or(at, |s| s.span());
-            let what = "lease_s must be over twice the probe's patience_s".into();
-            return Err(InvalidValue { span: at, message: what });
+        let lease = self.lease_s.as_ref().map_or(DEFAULT_LEASE, |lease| *lease.get_ref());
+        let timeout =
+            self.probe.patience_s.as_ref().map_or(DEFAULT_PROBE_TIMEOUT, |timeout| *timeout.get_ref());
+        // A probe is started only if its whole timeout fits into the rest of the lease.
+        if timeout.0 >= Micros(lease.0.0 / 2) {
+            let span = self.lease_s.or(self.probe.patience_s).map_or(span, |value| value.span());
+            let message = "lease_s must be over twice the probe's patience_s".into();
+            return Err(InvalidValue { span, message });
         }
-        let path = self.probe.path.as_ref().map_or(PATH, |p| p.get_ref());
-        if let Some(p) = self
+        let path = self.probe.path.as_ref().map_or(DEFAULT_PROBE_PATH, |path| path.get_ref());
+        if let Some(given) = self
             .probe
             .path
             .as_ref()
             .filter(|_| !path.starts_with('/') || !path.bytes().all(|b| b.is_ascii_graphic()))
         {
-            return Err(InvalidValue::new(p, "must begin with / and hold no spaces"));
+            return Err(InvalidValue::new(given, "must begin with / and hold no spaces"));
         }
         Ok(DutySettings {
             listen: self.listen,
-            voter_count: voters,
+            voter_count,
             members,
             lease_duration: lease.0,
             probe: ProbeSettings {
                 per_s: self.probe.per_s.0,
-                timeout: patience.0,
+                timeout: timeout.0,
                 path: path.to_owned(),
                 without_leases: self.probe.alone,
             },
@@ -237,24 +252,32 @@
         \"00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff\"\n";
     const MEMBER: &str = "[[duties.member]]\nname = \"n1\"\naddress = \"127.0.0.1:1\"\n";
 
-    fn nobody(_: &crate::dns::DnsSettings, _: &str) -> Result<Vec<super::NamedMember>, String> {
+    fn no_members(_: &crate::dns::DnsSettings, _: &str) -> Result<Vec<super::NamedMember>, String> {
         Ok(Vec::new())
     }
 
     fn read(head: &str, rest: &str) -> Result<super::DutySettings, String> {
         let text = format!("[duties]\nlisten = \"127.0.0.1:0\"\nsign = 1\n{head}{MEMBER}{rest}{KEY}");
-        parse(&text, Path::new("p.toml"), &NameIndex::default(), &nobody).map(|p| p.duties.unwrap())
+        parse(&text, Path::new("p.toml"), &NameIndex::default(), &no_members)
+            .map(|settings| settings.duties.unwrap())
     }
 
     #[test]
-    fn what_is_not_said_has_a_default() {
-        let d = read("", "").unwrap();
-        assert_eq!((d.voter_count, d.lease_duration.0, d.probe.per_s), (1, 3_000_000, 1.0));
-        assert_eq!(format!("{:?}", d.keys), "Keys { sign: 1, all: {1: Key(1)} }", "a secret is never shown");
+    fn absent_values_have_defaults() {
+        let settings = read("", "").unwrap();
+        assert_eq!(
+            (settings.voter_count, settings.lease_duration.0, settings.probe.per_s),
+            (1, 3_000_000, 1.0)
+        );
+        assert_eq!(
+            format!("{:?}", settings.keys),
+            "Keys { sign: 1, all: {1: Key(1)} }",
+            "a secret is never shown"
+        );
     }
 
     #[test]
-    fn what_cannot_hold_is_refused() {
+    fn invalid_values_are_refused_by_line_and_key() {
         for (head, rest, word) in [
             ("voters = 0\n", "", "p.toml:4: voters: must be 1 at least"),
             ("voters = 2\n", "", "p.toml:4: voters: there are only 1 members"),
@@ -266,14 +289,14 @@
             ("", "[duties.probe]\npath = \"health\"\n", "p.toml:8: path: must begin"),
             ("", "[duties.probe]\npatience_s = 2\n", "p.toml:8: patience_s: lease_s must be"),
         ] {
-            let e = read(head, rest).expect_err(word);
-            assert!(e.contains(word), "{e}");
+            let error = read(head, rest).expect_err(word);
+            assert!(error.contains(word), "{error}");
         }
         let short = format!(
             "[duties]\nlisten = \"127.0.0.1:0\"\nsign = 1\n{MEMBER}{}",
             KEY.replace("00112233", "beef")
         );
-        let e = parse(&short, Path::new("p.toml"), &NameIndex::default(), &nobody).unwrap_err();
-        assert!(e.contains("64 hexadecimal digits") && !e.contains("beef"), "{e}");
+        let error = parse(&short, Path::new("p.toml"), &NameIndex::default(), &no_members).unwrap_err();
+        assert!(error.contains("64 hexadecimal digits") && !error.contains("beef"), "{error}");
     }
 }
--- a/config/src/lib.rs
+++ b/config/src/lib.rs
@@ -1,5 +1,6 @@
-//! The one reader of what the platform and the deployment state: the settings object, the daemon's
-//! configuration, and [`product`], the file that switches on what the platform does not use.
+//! Reads and checks all configuration: the platform's settings object ([`settings`]), the daemon's
+//! configuration file ([`daemon`]), the endpoint list ([`list`]), and the file that enables features beyond
+//! the platform's settings ([`product`]).
 
 pub mod daemon;
 pub mod dns;
--- a/config/src/list.rs
+++ b/config/src/list.rs
@@ -1,4 +1,4 @@
-//! Discovery's list, as JSON, read in pieces as it comes.
+//! The reader of the endpoint list of discovery: JSON, read piece by piece as it arrives.
 
 use onyxrock::core::NameIndex;
 use onyxrock::interface::*;
@@ -7,21 +7,27 @@
 use std::borrow::Cow;
 use std::net::SocketAddr;
 
-/// One endpoint as the list states it.
+/// One endpoint, as the list describes it.
 #[derive(Clone, Debug)]
 pub struct ListedEndpoint {
+    /// Unique name of the endpoint.
     pub name: String,
+    /// Address that calls are sent to.
     pub address: SocketAddr,
+    /// Name of the zone; empty if the list states none.
     pub zone: String,
-    /// All but the receiver's number, which is the reader's to give.
+    /// The entry for the core. Its receiver id is not set: the caller assigns it.
     pub entry: ListEntry,
 }
 
-/// A whole list or the entries that changed.
+/// A complete list, or the entries that changed.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointList {
+    /// Generation of the list.
     pub generation: u64,
+    /// Whether the list is complete. Otherwise it holds only changes.
     pub complete: bool,
+    /// The entries, in the order of the list.
     pub entries: Vec<ListedEndpoint>,
 }
 
@@ -48,17 +54,23 @@
     generation: u64,
     #[serde(default)]
     reset: Option<bool>,
-    /// Empty: the entries have been taken out.
+    /// Always empty: the reader removes the entries before it parses the head.
     instances: Vec<()>,
 }
 
-/// Reads a list. An entry that cannot be read fails it as a whole: a list with holes would look like endpoints
-/// that are gone.
+/// Reads a list. An entry that cannot be read fails the list as a whole, because the endpoint of a skipped
+/// entry would count as gone.
+///
+/// # Errors
+/// One line that begins with `list:`.
 pub fn read(v: &Value, names: &NameIndex) -> Result<EndpointList, String> {
     parse(v.to_string().as_bytes(), names)
 }
 
-/// The same, of its text.
+/// Reads a list from its JSON text; see [`read`].
+///
+/// # Errors
+/// One line that begins with `list:`.
 pub fn parse(text: &[u8], names: &NameIndex) -> Result<EndpointList, String> {
     collect(std::iter::once(text), names)
 }
@@ -67,132 +79,164 @@
     let mut reader = ListReader::new(names);
     let mut entries = Vec::new();
     for piece in pieces {
-        reader.feed(piece, |e| {
-            entries.push(e);
+        reader.feed(piece, |entry| {
+            entries.push(entry);
             Ok::<_, String>(())
         })?;
     }
-    let (generation, whole) = reader.finish()?;
-    Ok(EndpointList { generation, complete: whole, entries })
+    let (generation, complete) = reader.finish()?;
+    Ok(EndpointList { generation, complete, entries })
 }
 
-fn listed(bytes: &[u8], names: &NameIndex) -> Result<ListedEndpoint, String> {
-    let i: Instance = serde_json::from_slice(bytes).map_err(|e| format!("list: an entry: {e}"))?;
-    let place = |map: &std::collections::BTreeMap<String, usize>, name: &str| {
+fn parse_entry(bytes: &[u8], names: &NameIndex) -> Result<ListedEndpoint, String> {
+    let instance: Instance =
+        serde_json::from_slice(bytes).map_err(|e| format!("list: an entry cannot be read: {e}"))?;
+    let index = |map: &std::collections::BTreeMap<String, usize>, name: &str| {
         map.get(name).copied().unwrap_or(usize::MAX)
     };
-    let zone = i.zone.as_deref().unwrap_or_default();
-    let listing = match &*i.lifecycle {
+    let zone = instance.zone.as_deref().unwrap_or_default();
+    let state = match &*instance.lifecycle {
         "Ready" => EntryState::Ready,
         "Terminating" => EntryState::Draining,
         "Gone" => EntryState::Gone,
         other => return Err(format!("list: unknown lifecycle {other:?}")),
     };
     Ok(ListedEndpoint {
-        address: i.address.parse().map_err(|e| format!("list: hostPort {:?}: {e}", i.address))?,
+        address: instance
+            .address
+            .parse()
+            .map_err(|e| format!("list: hostPort {:?}: {e}", instance.address))?,
         zone: zone.to_owned(),
         entry: ListEntry {
             receiver: ReceiverId(0),
-            state: listing,
-            destination: DestinationId(i.cell.unwrap_or(0)),
-            kind: KindId(place(&names.kinds, i.kind.as_deref().unwrap_or_default())),
-            zone: ZoneId(place(&names.zones, zone)),
-            weight: i.weight.unwrap_or(0.0),
+            state,
+            destination: DestinationId(instance.cell.unwrap_or(0)),
+            kind: KindId(index(&names.kinds, instance.kind.as_deref().unwrap_or_default())),
+            zone: ZoneId(index(&names.zones, zone)),
+            weight: instance.weight.unwrap_or(0.0),
         },
-        name: i.name.into_owned(),
+        name: instance.name.into_owned(),
     })
 }
 
-/// The longest entry, and the longest head without its entries; nobody's is near it.
-const PIECE_MOST: usize = 16 * 1024;
+/// Bound on the length of one entry, and of the head without the entries (16 KiB). Those of existing lists
+/// are far shorter.
+const MAX_PART_BYTES: usize = 16 * 1024;
 
-/// Where the reader stands in the list's array.
+/// Position of the reader relative to the array of entries.
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum At {
-    /// Not in it: before, or behind.
+enum Position {
+    /// Outside the array, before or after it.
     Head,
-    /// Before the first entry, or its end.
-    First,
-    /// Behind an entry: a comma, or its end.
-    Behind,
-    /// Behind a comma: an entry.
-    Next,
-    /// In an entry, so deep.
+    /// After the opening bracket: the first entry or the closing bracket follows.
+    ArrayStart,
+    /// After an entry: a comma or the closing bracket follows.
+    AfterEntry,
+    /// After a comma: an entry follows.
+    AfterComma,
+    /// Inside an entry, at this depth of brackets.
     Entry(u32),
 }
 
-/// Reads a list of any length in the pieces in which it comes, and holds one entry at a time. It finds where entries
-/// begin and end; what they and the head say is read by `serde_json`.
+/// Reads a list of any length in the pieces in which it arrives, and holds one entry at a time. The reader
+/// only finds where entries begin and end; `serde_json` parses the entries and the head.
 pub struct ListReader<'n> {
     names: &'n NameIndex,
-    at: At,
+    position: Position,
+    /// Depth of brackets in the head.
     depth: u32,
-    text: bool,
+    in_text: bool,
+    /// The next character of a text is escaped.
     escaped: bool,
-    seen: bool,
+    /// The array of entries has been found.
+    found_instances: bool,
+    /// The list without its entries.
     head: Vec<u8>,
+    /// The entry that is being read.
     entry: Vec<u8>,
 }
 
 impl<'n> ListReader<'n> {
+    /// Creates a reader; `names` gives the kinds and zones that entries may name.
     pub fn new(names: &'n NameIndex) -> ListReader<'n> {
-        let (at, depth, text, escaped, seen) = (At::Head, 0, false, false, false);
-        ListReader { names, at, depth, text, escaped, seen, head: Vec::new(), entry: Vec::new() }
+        let (position, depth, in_text, escaped, found_instances) = (Position::Head, 0, false, false, false);
+        ListReader {
+            names,
+            position,
+            depth,
+            in_text,
+            escaped,
+            found_instances,
+            head: Vec::new(),
+            entry: Vec::new(),
+        }
     }
 
-    /// Takes the next piece, and gives each entry that ends in it.
+    /// Reads the next piece of the list, and passes each entry that ends in it to `on_entry`.
+    ///
+    /// # Errors
+    /// One line that begins with `list:`, or an error of `on_entry`.
     pub fn feed<E: From<String>>(
-        &mut self, bytes: &[u8], mut each: impl FnMut(ListedEndpoint) -> Result<(), E>,
+        &mut self, bytes: &[u8], mut on_entry: impl FnMut(ListedEndpoint) -> Result<(), E>,
     ) -> Result<(), E> {
-        for b in bytes {
-            let in_text = self.text;
+        for byte in bytes {
+            let in_text = self.in_text;
             if in_text {
-                (self.text, self.escaped) = (self.escaped || *b != b'"', !self.escaped && *b == b'\\');
-            } else if b.is_ascii_whitespace() && !matches!(self.at, At::Head | At::Entry(_)) {
+                (self.in_text, self.escaped) =
+                    (self.escaped || *byte != b'"', !self.escaped && *byte == b'\\');
+            } else if byte.is_ascii_whitespace()
+                && !matches!(self.position, Position::Head | Position::Entry(_))
+            {
                 continue;
             } else {
-                self.text = *b == b'"';
+                self.in_text = *byte == b'"';
             }
-            match self.at {
-                At::Head => self.in_head(*b, in_text)?,
-                At::Entry(deep) => {
-                    push(&mut self.entry, *b)?;
-                    self.at = match b {
-                        _ if in_text => At::Entry(deep),
-                        b'{' | b'[' => At::Entry(deep + 1),
-                        b'}' | b']' if deep == 1 => {
-                            each(listed(&self.entry, self.names)?)?;
+            match self.position {
+                Position::Head => self.read_head(*byte, in_text)?,
+                Position::Entry(depth) => {
+                    push_bounded(&mut self.entry, *byte)?;
+                    self.position = match byte {
+                        _ if in_text => Position::Entry(depth),
+                        b'{' | b'[' => Position::Entry(depth + 1),
+                        b'}' | b']' if depth == 1 => {
+                            on_entry(parse_entry(&self.entry, self.names)?)?;
                             self.entry.clear();
-                            At::Behind
+                            Position::AfterEntry
                         }
-                        b'}' | b']' => At::Entry(deep - 1),
-                        _ => At::Entry(deep),
+                        b'}' | b']' => Position::Entry(depth - 1),
+                        _ => Position::Entry(depth),
                     };
                 }
-                At::First | At::Behind if *b == b']' => {
+                Position::ArrayStart | Position::AfterEntry if *byte == b']' => {
                     self.head.push(b']');
-                    self.at = At::Head;
+                    self.position = Position::Head;
                 }
-                At::Behind if *b == b',' => self.at = At::Next,
-                At::First | At::Next if *b == b'{' => {
+                Position::AfterEntry if *byte == b',' => self.position = Position::AfterComma,
+                Position::ArrayStart | Position::AfterComma if *byte == b'{' => {
                     self.entry.push(b'{');
-                    self.at = At::Entry(1);
+                    self.position = Position::Entry(1);
+                }
+                _ => {
+                    return Err(format!(
+                        "list: unexpected character {:?} between entries",
+                        char::from(*byte)
+                    )
+                    .into());
                 }
-                _ => return Err(format!("list: {:?} between its entries", char::from(*b)).into()),
             }
         }
         Ok(())
     }
 
-    fn in_head(&mut self, b: u8, in_text: bool) -> Result<(), String> {
-        push(&mut self.head, b)?;
-        match b {
+    fn read_head(&mut self, byte: u8, in_text: bool) -> Result<(), String> {
+        push_bounded(&mut self.head, byte)?;
+        match byte {
             _ if in_text => {}
-            b'[' if self.depth == 1 && opens_instances(&self.head) => {
-                if std::mem::replace(&mut self.seen, true) {
-                    return Err("list: instances twice".into());
+            b'[' if self.depth == 1 && opens_entries(&self.head) => {
+                if std::mem::replace(&mut self.found_instances, true) {
+                    return Err("list: \"instances\" is given twice".into());
                 }
-                self.at = At::First;
+                self.position = Position::ArrayStart;
             }
             b'{' | b'[' => self.depth += 1,
             b'}' | b']' => self.depth = self.depth.saturating_sub(1),
@@ -201,30 +245,33 @@
         Ok(())
     }
 
-    /// The list has ended: its version, and whether it was a whole one.
+    /// Ends the list. Returns its generation, and whether it is complete.
+    ///
+    /// # Errors
+    /// One line that begins with `list:`.
     pub fn finish(self) -> Result<(u64, bool), String> {
-        if self.at != At::Head {
-            return Err("list: it ends among its entries".into());
+        if self.position != Position::Head {
+            return Err("list: truncated inside the array of entries".into());
         }
         let head: Head = serde_json::from_slice(&self.head).map_err(|e| format!("list: {e}"))?;
-        if !self.seen || !head.instances.is_empty() {
-            return Err("list: no instances".into());
+        if !self.found_instances || !head.instances.is_empty() {
+            return Err("list: \"instances\" is missing".into());
         }
         Ok((head.generation, head.reset.unwrap_or(true)))
     }
 }
 
-/// The bracket at the end of the head is the one behind `"instances":`.
-fn opens_instances(head: &[u8]) -> bool {
-    let key = head.strip_suffix(b"[").and_then(|h| h.trim_ascii_end().strip_suffix(b":"));
-    key.is_some_and(|k| k.trim_ascii_end().ends_with(b"\"instances\""))
+/// Whether the bracket at the end of the head is the one after `"instances":`.
+fn opens_entries(head: &[u8]) -> bool {
+    let key = head.strip_suffix(b"[").and_then(|rest| rest.trim_ascii_end().strip_suffix(b":"));
+    key.is_some_and(|key| key.trim_ascii_end().ends_with(b"\"instances\""))
 }
 
-fn push(piece: &mut Vec<u8>, b: u8) -> Result<(), String> {
-    if piece.len() >= PIECE_MOST {
-        return Err(format!("list: one part of it is over {PIECE_MOST} bytes"));
+fn push_bounded(part: &mut Vec<u8>, byte: u8) -> Result<(), String> {
+    if part.len() >= MAX_PART_BYTES {
+        return Err(format!("list: an entry, or the head, is over {MAX_PART_BYTES} bytes"));
     }
-    piece.push(b);
+    part.push(byte);
     Ok(())
 }
 
@@ -237,31 +284,31 @@
          "lifecycle": "Ready", "weight": 1.5, "extra": [{"x": []}]} ,
         {"instanceId": "b", "hostPort": "[::1]:8", "lifecycle": "Gone", "zone": null} ], "generation": 41 }"#;
 
-    fn read_in(pieces: impl Iterator<Item = Vec<u8>>) -> Result<EndpointList, String> {
+    fn read_pieces(pieces: impl Iterator<Item = Vec<u8>>) -> Result<EndpointList, String> {
         let pieces: Vec<_> = pieces.collect();
         collect(pieces.iter().map(Vec::as_slice), &NameIndex::default())
     }
 
     #[test]
-    fn a_list_reads_the_same_in_whatever_pieces_it_comes() {
-        let whole = format!("{:?}", read_in([LIST.as_bytes().to_vec()].into_iter()).unwrap());
+    fn a_list_reads_the_same_however_it_is_split_into_pieces() {
+        let unsplit = format!("{:?}", read_pieces([LIST.as_bytes().to_vec()].into_iter()).unwrap());
         for size in 1..40 {
             let pieces = LIST.as_bytes().chunks(size).map(<[u8]>::to_vec);
-            assert_eq!(format!("{:?}", read_in(pieces).unwrap()), whole, "{size}");
+            assert_eq!(format!("{:?}", read_pieces(pieces).unwrap()), unsplit, "{size}");
         }
-        let l = read_in([LIST.as_bytes().to_vec()].into_iter()).unwrap();
-        assert_eq!((l.generation, l.complete, l.entries.len()), (41, false, 2));
-        assert_eq!((l.entries[0].name.as_str(), l.entries[0].entry.weight), ("a\"}]\\", 1.5));
-        assert_eq!((l.entries[1].entry.state, l.entries[1].zone.as_str()), (EntryState::Gone, ""));
-        let empty = read_in([br#"{"generation":1,"instances":[]}"#.to_vec()].into_iter()).unwrap();
+        let list = read_pieces([LIST.as_bytes().to_vec()].into_iter()).unwrap();
+        assert_eq!((list.generation, list.complete, list.entries.len()), (41, false, 2));
+        assert_eq!((list.entries[0].name.as_str(), list.entries[0].entry.weight), ("a\"}]\\", 1.5));
+        assert_eq!((list.entries[1].entry.state, list.entries[1].zone.as_str()), (EntryState::Gone, ""));
+        let empty = read_pieces([br#"{"generation":1,"instances":[]}"#.to_vec()].into_iter()).unwrap();
         assert!(empty.complete && empty.entries.is_empty());
     }
 
-    /// A list with a hole would look like endpoints that are gone.
+    /// Endpoints that a damaged list does not name would count as gone.
     #[test]
-    fn what_is_no_whole_list_is_refused() {
+    fn a_truncated_or_malformed_list_is_refused() {
         for cut in 0..LIST.len() - 1 {
-            assert!(read_in([LIST.as_bytes()[..cut].to_vec()].into_iter()).is_err(), "{cut}");
+            assert!(read_pieces([LIST.as_bytes()[..cut].to_vec()].into_iter()).is_err(), "{cut}");
         }
         let one = r#"{"instanceId":"a","hostPort":"127.0.0.1:7","lifecycle":"Ready"}"#;
         for text in [
@@ -284,7 +331,7 @@
             format!("{{\"generation\":1,\"instances\":[{}]}}", one.replace('a', &"a".repeat(20_000))),
         ] {
             assert!(
-                read_in([text.clone().into_bytes()].into_iter()).is_err(),
+                read_pieces([text.clone().into_bytes()].into_iter()).is_err(),
                 "{}",
                 &text[..80.min(text.len())]
             );
--- a/config/src/product.rs
+++ b/config/src/product.rs
@@ -1,7 +1,7 @@
-//! Our own settings: one TOML file that switches on what the platform does not use.
+//! The product settings: one TOML file that enables features that the platform's settings do not cover.
 //!
-//! Every section is optional and everything in it is off while it is absent. Unknown keys are refused. An error is one
-//! line, `FILE:LINE: KEY: what is wrong`, and nothing of a file with an error is used.
+//! Every section is optional, and its feature is off while the section is absent. Unknown keys are refused.
+//! An error is one line, `FILE:LINE: KEY: message`, and nothing of a file with an error is used.
 
 use crate::duties::{self, DutySettings};
 use crate::{dns, idle, smpp};
@@ -12,14 +12,20 @@
 use std::path::Path;
 use toml::Spanned;
 
-/// What the file holds, checked.
+/// The checked contents of the file.
 #[derive(Clone, Debug, Default)]
 pub struct ProductSettings {
+    /// `[log]`.
     pub log: Log,
+    /// `[smpp]`.
     pub smpp: Option<smpp::SmppSettings>,
+    /// `[dns]`.
     pub dns: Option<dns::DnsSettings>,
+    /// `[duties]`.
     pub duties: Option<DutySettings>,
+    /// `[list]`.
     pub list: idle::ListLimits,
+    /// `[idle]`.
     pub idle: Option<idle::IdleSettings>,
 }
 
@@ -27,11 +33,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Log {
-    /// Lines for people, or one JSON object a line.
+    /// Plain text, or one JSON object a line.
     pub format: Format,
-    /// The least level that is written.
+    /// The lowest level that is written.
     pub level: Level,
-    /// Lines a second from one place in the program; what is over it is counted, not written. At least 1.
+    /// Bound on the lines per second from one place in the program. Further lines are counted instead of
+    /// written. At least 1.
     #[serde(deserialize_with = "positive")]
     pub lines_per_s: u32,
 }
@@ -42,13 +49,17 @@
     }
 }
 
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Format {
+    /// Plain text.
     Text,
+    /// One JSON object a line.
     Json,
 }
 
+/// Log level, from the most to the least severe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Level {
@@ -66,7 +77,7 @@
     }
 }
 
-/// A span over zero, at most a day, written as a number of seconds.
+/// A duration, written as a number of seconds: more than zero, at most one day.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Seconds(pub Micros);
 
@@ -93,16 +104,19 @@
     }
 }
 
-/// Something wrong with a value that its type alone does not show, and where the value stands.
+/// A value of the right type that is invalid.
 #[derive(Debug)]
 pub struct InvalidValue {
+    /// Byte range of the value in the file.
     pub span: Range<usize>,
+    /// What is wrong with the value.
     pub message: String,
 }
 
 impl InvalidValue {
-    pub fn new<T>(value: &Spanned<T>, what: impl Into<String>) -> InvalidValue {
-        InvalidValue { span: value.span(), message: what.into() }
+    /// Reports a value that was read from the file.
+    pub fn new<T>(value: &Spanned<T>, message: impl Into<String>) -> InvalidValue {
+        InvalidValue { span: value.span(), message: message.into() }
     }
 }
 
@@ -119,50 +133,59 @@
     idle: Option<idle::Raw>,
 }
 
-/// Reads the members that a service of the zone names.
+/// Looks up the members that a service of the DNS zone names.
 pub type MemberLookup<'a> = &'a dyn Fn(&dns::DnsSettings, &str) -> Result<Vec<duties::NamedMember>, String>;
 
 /// Reads the file. Names of classes, tenants, kinds and zones must be those of the platform's settings.
-pub fn read(path: &Path, names: &NameIndex, zones: MemberLookup) -> Result<ProductSettings, String> {
+///
+/// # Errors
+/// One line, `FILE:LINE: KEY: message`.
+pub fn read(path: &Path, names: &NameIndex, members_of: MemberLookup) -> Result<ProductSettings, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?;
-    parse(&text, path, names, zones)
+    parse(&text, path, names, members_of)
 }
 
-/// Reads the text of a file; other files that it names stand beside it.
+/// Parses the text of a file. `path` is shown in errors, and other files that the text names are found
+/// relative to it.
+///
+/// # Errors
+/// One line, `FILE:LINE: KEY: message`.
 pub fn parse(
-    text: &str, path: &Path, names: &NameIndex, zones: MemberLookup,
+    text: &str, path: &Path, names: &NameIndex, members_of: MemberLookup,
 ) -> Result<ProductSettings, String> {
-    let line = |at: Option<Range<usize>>, what: &str| {
-        // Several lines of explanation, and control characters from the file, have no place in one line.
-        let what: String = what.chars().map(|c| if c.is_control() { ' ' } else { c }).collect();
-        match at.map(|r| place(text, r.start)) {
-            Some((line, Some(key))) => format!("{}:{line}: {key}: {what}", path.display()),
-            Some((line, None)) => format!("{}:{line}: {what}", path.display()),
-            None => format!("{}: {what}", path.display()),
+    let error_line = |span: Option<Range<usize>>, message: &str| {
+        // The message may span several lines or hold control characters from the file; the error must be one
+        // line.
+        let message: String = message.chars().map(|c| if c.is_control() { ' ' } else { c }).collect();
+        match span.map(|span| locate(text, span.start)) {
+            Some((line, Some(key))) => format!("{}:{line}: {key}: {message}", path.display()),
+            Some((line, None)) => format!("{}:{line}: {message}", path.display()),
+            None => format!("{}: {message}", path.display()),
         }
     };
-    let raw: Raw = toml::from_str(text).map_err(|e| line(e.span(), e.message()))?;
-    let wrong = |w: InvalidValue| line(Some(w.span), &w.message);
-    let dns = raw.dns.map(|d| d.check(path)).transpose().map_err(wrong)?;
-    let members = |service: &str| dns.as_ref().map(|d| zones(d, service));
-    let duties = raw.duties.map(|d| (d.span(), d.into_inner()));
-    let duties = duties.map(|(at, d)| d.check(at, members)).transpose().map_err(wrong)?;
+    let raw: Raw = toml::from_str(text).map_err(|e| error_line(e.span(), e.message()))?;
+    let invalid = |value: InvalidValue| error_line(Some(value.span), &value.message);
+    let dns = raw.dns.map(|section| section.check(path)).transpose().map_err(invalid)?;
+    let members = |service: &str| dns.as_ref().map(|dns| members_of(dns, service));
+    let duties = raw.duties.map(|section| (section.span(), section.into_inner()));
+    let duties = duties.map(|(span, section)| section.check(span, members)).transpose().map_err(invalid)?;
     Ok(ProductSettings {
         log: raw.log,
-        smpp: raw.smpp.map(|s| s.check(names)).transpose().map_err(wrong)?,
+        smpp: raw.smpp.map(|section| section.check(names)).transpose().map_err(invalid)?,
         duties,
         dns,
         list: raw.list,
-        idle: raw.idle.map(idle::Raw::check).transpose().map_err(wrong)?,
+        idle: raw.idle.map(idle::Raw::check).transpose().map_err(invalid)?,
     })
 }
 
-/// The line of a place in the text, from one, and the key that its line sets.
-fn place(text: &str, at: usize) -> (usize, Option<&str>) {
-    let line = text.get(..at).unwrap_or(text).matches('\n').count();
-    let shown = text.lines().nth(line).unwrap_or("");
-    let key = shown.split_once('=').map(|(key, _)| key.trim()).filter(|k| !k.is_empty());
-    let header = shown.trim().starts_with('[').then(|| shown.trim());
+/// The number of the line that holds a byte offset, counted from one, and the key or section header on that
+/// line.
+fn locate(text: &str, offset: usize) -> (usize, Option<&str>) {
+    let line = text.get(..offset).unwrap_or(text).matches('\n').count();
+    let line_text = text.lines().nth(line).unwrap_or("");
+    let key = line_text.split_once('=').map(|(key, _)| key.trim()).filter(|k| !k.is_empty());
+    let header = line_text.trim().starts_with('[').then(|| line_text.trim());
     (line + 1, key.or(header))
 }
 
@@ -171,26 +194,27 @@
     use super::*;
 
     fn names() -> NameIndex {
-        let map = |n: &[&str]| n.iter().enumerate().map(|(i, n)| ((*n).to_owned(), i)).collect();
+        let index =
+            |names: &[&str]| names.iter().enumerate().map(|(i, name)| ((*name).to_owned(), i)).collect();
         NameIndex {
-            classes: map(&["status"]),
-            tenants: map(&["clubs"]),
-            kinds: map(&["club"]),
-            zones: map(&["floor-2"]),
+            classes: index(&["status"]),
+            tenants: index(&["clubs"]),
+            kinds: index(&["club"]),
+            zones: index(&["floor-2"]),
         }
     }
 
-    fn wrong(text: &str) -> String {
-        let e = parse(text, Path::new("p.toml"), &names(), &|_, _| Ok(Vec::new())).expect_err(text);
-        assert_eq!(e.lines().count(), 1, "{e}");
-        e
+    fn error_of(text: &str) -> String {
+        let error = parse(text, Path::new("p.toml"), &names(), &|_, _| Ok(Vec::new())).expect_err(text);
+        assert_eq!(error.lines().count(), 1, "{error}");
+        error
     }
 
     #[test]
-    fn an_empty_file_switches_nothing_on() {
-        let p = parse("", Path::new("p.toml"), &names(), &|_, _| Ok(Vec::new())).unwrap();
-        assert!(p.smpp.is_none() && p.dns.is_none() && p.duties.is_none());
-        assert_eq!(p.log, Log::default());
+    fn an_empty_file_enables_nothing() {
+        let settings = parse("", Path::new("p.toml"), &names(), &|_, _| Ok(Vec::new())).unwrap();
+        assert!(settings.smpp.is_none() && settings.dns.is_none() && settings.duties.is_none());
+        assert_eq!(settings.log, Log::default());
     }
 
     #[test]
@@ -229,8 +253,8 @@
             ("[idle]\nkeep_kb = 100000\n", "p.toml:2: keep_kb: ", "65536"),
             ("[idle]\nassumed_per_s = 0\n", "p.toml:2: assumed_per_s: ", "0.01"),
         ] {
-            let e = wrong(text);
-            assert!(e.starts_with(start) && e.contains(word), "{e}");
+            let error = error_of(text);
+            assert!(error.starts_with(start) && error.contains(word), "{error}");
         }
     }
 }
--- a/config/src/reload.rs
+++ b/config/src/reload.rs
@@ -1,44 +1,49 @@
-//! What a new configuration may change while the daemon runs, and what a file must hold to be taken: all that the one before
-//! it held. A file that lacks a key was cut short, or written by mistake, and nothing of it is taken.
+//! Checks a new version of the configuration while the daemon runs. The new version must have every key of
+//! the version before it. A file that lacks a key was truncated or written by mistake, and is refused as a
+//! whole.
 
 use serde_json::{Map, Value};
 
-/// Keys of the whole that a later file may leave out: they are read at a start alone, or a variable gives them.
-const MAY_BE_LEFT_OUT: [&str; 5] = ["known", "seed", "name", "listen", "mgmt"];
-/// Numbers that mean nothing unless they are positive, once a file has given one that is.
-const POSITIVE: [&str; 2] = ["giveUpUs", "maxAttempts"];
+/// Top-level keys that a new version may omit, because they are read only at a start or come from an
+/// environment variable.
+const OPTIONAL_KEYS: [&str; 5] = ["known", "seed", "name", "listen", "mgmt"];
 
-/// Compares a new configuration with the one that holds.
+/// Keys of numbers that must stay positive once a version of the file has a positive one.
+const POSITIVE_KEYS: [&str; 2] = ["giveUpUs", "maxAttempts"];
+
+/// Compares a new version of the configuration with the current one.
 ///
 /// # Errors
-/// One line that names the key that is missing or wrong.
-pub fn check(held: &Value, new: &Value) -> Result<(), String> {
-    compare("", held, new)
+/// One line that names the key that is missing or invalid.
+pub fn check(current: &Value, new: &Value) -> Result<(), String> {
+    compare("", current, new)
 }
 
-/// The configuration without what a later file may leave out.
+/// The configuration without the keys that a new version may omit.
 #[must_use]
 pub fn without_optional_keys(config: &Value) -> Value {
-    let mut lasting = config.clone();
-    if let Some(object) = lasting.as_object_mut() {
-        MAY_BE_LEFT_OUT.iter().for_each(|key| drop(object.remove(*key)));
+    let mut required = config.clone();
+    if let Some(object) = required.as_object_mut() {
+        OPTIONAL_KEYS.iter().for_each(|key| drop(object.remove(*key)));
     }
-    lasting
+    required
 }
 
-fn compare(path: &str, held: &Value, new: &Value) -> Result<(), String> {
-    match (held, new) {
-        (Value::Object(held), Value::Object(new)) => objects(path, held, new),
-        (Value::Array(held), Value::Array(new)) => arrays(path, held, new),
+fn compare(path: &str, current: &Value, new: &Value) -> Result<(), String> {
+    match (current, new) {
+        (Value::Object(current), Value::Object(new)) => objects(path, current, new),
+        (Value::Array(current), Value::Array(new)) => arrays(path, current, new),
         (Value::Null, _) => Ok(()),
-        _ if kind(held) != kind(new) => Err(format!("{path} is not {} any more", kind(held))),
-        (Value::Number(_), _) if POSITIVE.iter().any(|key| path.ends_with(key)) => positive(path, held, new),
+        _ if kind(current) != kind(new) => Err(format!("{path} is no longer {}", kind(current))),
+        (Value::Number(_), _) if POSITIVE_KEYS.iter().any(|key| path.ends_with(key)) => {
+            check_positive(path, current, new)
+        }
         _ => Ok(()),
     }
 }
 
-fn objects(path: &str, held: &Map<String, Value>, new: &Map<String, Value>) -> Result<(), String> {
-    for (key, value) in held {
+fn objects(path: &str, current: &Map<String, Value>, new: &Map<String, Value>) -> Result<(), String> {
+    for (key, value) in current {
         let path = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
         let found = new.get(key).ok_or_else(|| format!("{path} is missing"))?;
         compare(&path, value, found)?;
@@ -46,21 +51,21 @@
     Ok(())
 }
 
-/// Entries come and go; each has the keys that all had before.
-fn arrays(path: &str, held: &[Value], new: &[Value]) -> Result<(), String> {
-    if !held.is_empty() && new.is_empty() {
+/// Entries may be added and removed; each new entry must have the keys that all current entries share.
+fn arrays(path: &str, current: &[Value], new: &[Value]) -> Result<(), String> {
+    if !current.is_empty() && new.is_empty() {
         return Err(format!("{path} is empty"));
     }
-    let Some(common) = held.iter().cloned().reduce(|a, b| in_common(&a, &b)) else { return Ok(()) };
+    let Some(common) = current.iter().cloned().reduce(|a, b| shared_keys(&a, &b)) else { return Ok(()) };
     new.iter().enumerate().try_for_each(|(i, entry)| compare(&format!("{path}[{i}]"), &common, entry))
 }
 
-/// The keys that two entries share. What differs in kind binds nothing.
-fn in_common(a: &Value, b: &Value) -> Value {
+/// The keys that two entries share. A value that differs in type between them imposes nothing.
+fn shared_keys(a: &Value, b: &Value) -> Value {
     match (a, b) {
         (Value::Object(a), Value::Object(b)) => {
             let shared =
-                a.iter().filter_map(|(key, value)| Some((key.clone(), in_common(value, b.get(key)?))));
+                a.iter().filter_map(|(key, value)| Some((key.clone(), shared_keys(value, b.get(key)?))));
             Value::Object(shared.collect())
         }
         _ if kind(a) != kind(b) => Value::Null,
@@ -69,9 +74,9 @@
     }
 }
 
-fn positive(path: &str, held: &Value, new: &Value) -> Result<(), String> {
-    let is_positive = |v: &Value| v.as_f64().is_some_and(|n| n > 0.0);
-    if is_positive(held) && !is_positive(new) {
+fn check_positive(path: &str, current: &Value, new: &Value) -> Result<(), String> {
+    let is_positive = |value: &Value| value.as_f64().is_some_and(|n| n > 0.0);
+    if is_positive(current) && !is_positive(new) {
         return Err(format!("{path} is not a positive number: {new}"));
     }
     Ok(())
