--- a/config/src/duties.rs
+++ b/config/src/duties.rs
@@ -125,7 +125,7 @@
 /// Path of a probe by default.
 const DEFAULT_PROBE_PATH: &str = "/health";
 
-/// A probe rate over 0 and at most 100 per second: a probe must not add load.
+/// A probe rate over 0 and at most 100 per second: probes check an endpoint and must not load it.
 struct Pace(f64);
 
 impl<'de> Deserialize<'de> for Pace {
--- a/config/tests/settings.rs
+++ b/config/tests/settings.rs
@@ -1,17 +1,19 @@
-//! The settings of two deployments that differ in almost all they allow, and what is wrong in either.
+//! The settings of two deployments that differ in almost everything they allow, and invalid variants of them.
 
 use onyxrock::interface::*;
 use onyxrock_config::settings;
 use rstest::rstest;
 use serde_json::{Value, json};
 
-/// Rough rates in the list, nothing in answers, one attempt at a time, repeats dropped by one zone: as the daemon's tests.
-fn listed() -> Value {
+/// Rough rates in the list, no load reports in responses, one attempt at a time, repeats dropped within one
+/// zone. The daemon's tests use the same settings.
+fn limits_in_list() -> Value {
     serde_json::from_str(include_str!("../../daemon/tests/stage/settings.json")).unwrap()
 }
 
-/// Limits in answers, none in the list, second copies, repeats dropped everywhere.
-fn reported() -> Value {
+/// Load reports in responses, no rates in the list, second copies, repeats dropped by every endpoint of a
+/// destination.
+fn limits_in_responses() -> Value {
     json!({
         "azs": ["hall"],
         "classes": [
@@ -27,31 +29,39 @@
 }
 
 #[test]
-fn two_deployments_are_read_as_they_say() {
-    let (a, names) = settings::read(&listed()).unwrap();
+fn two_deployments_with_different_rules_are_read() {
+    let (listed, names) = settings::read(&limits_in_list()).unwrap();
     assert!(
-        !a.second_copies && !a.load_reports && a.weights == Weights::Rough && names.classes["payment"] == 2
+        !listed.second_copies
+            && !listed.load_reports
+            && listed.weights == Weights::Rough
+            && names.classes["payment"] == 2
     );
-    assert_eq!(a.classes[1].effect, Effect::Keyed { scope: DedupScope::Zone, window: Micros(6_000_000) });
-    let (b, names) = settings::read(&reported()).unwrap();
+    assert_eq!(
+        listed.classes[1].effect,
+        Effect::Keyed { scope: DedupScope::Zone, window: Micros(6_000_000) }
+    );
+    let (reported, names) = settings::read(&limits_in_responses()).unwrap();
     assert!(
-        b.second_copies
-            && b.allow_cancel
-            && b.load_reports
-            && b.weights == Weights::Off
-            && b.send_retry_after
+        reported.second_copies
+            && reported.allow_cancel
+            && reported.load_reports
+            && reported.weights == Weights::Off
+            && reported.send_retry_after
     );
     assert_eq!(
-        b.classes[0].effect,
+        reported.classes[0].effect,
         Effect::Keyed { scope: DedupScope::Destination, window: Micros(5_000_000) }
     );
-    let words = settings::describe(&b, &names).join("\n");
-    for said in ["dropped for 5 s by any endpoint", "a second copy may go", "told in answers", "2 senders"] {
-        assert!(words.contains(said), "{said}: {words}");
+    let description = settings::describe(&reported, &names).join("\n");
+    for expected in
+        ["dropped for 5 s by any endpoint", "a second copy may go", "told in answers", "2 senders"]
+    {
+        assert!(description.contains(expected), "{expected}: {description}");
     }
 }
 
-/// What is wrong is one line that names the key; a limit that is misread is a rule that is broken.
+/// An error is one line that names the key. A limit that is misread would lead to a broken rule.
 #[rstest]
 #[case("/limits/secondCopies", json!("yes"), "limits.secondCopies is not true or false")]
 #[case("/limits/maxAttempts", json!("8"), "limits.maxAttempts is not a number")]
@@ -66,35 +76,37 @@
 #[case("/azs", json!(["hall", "hall"]), "azs names \"hall\" twice")]
 #[case("/hostTypes", json!(["buyer", "buyer"]), "hostTypes names \"buyer\" twice")]
 #[case("/limits/connectTimeoutUs", json!("1s"), "limits.connectTimeoutUs is not a number")]
-fn what_is_wrong_is_named(#[case] path: &str, #[case] value: Value, #[case] says: &str) {
-    let mut v = reported();
-    (v["tenants"], v["limits"]["connectTimeoutUs"]) = (json!([]), json!(1_000_000));
-    *v.pointer_mut(path).unwrap() = value;
-    let read = settings::read(&v).and_then(|_| settings::connect_timeout(&v));
+fn an_invalid_value_is_refused_and_the_error_names_its_key(
+    #[case] path: &str, #[case] value: Value, #[case] expected: &str,
+) {
+    let mut object = limits_in_responses();
+    (object["tenants"], object["limits"]["connectTimeoutUs"]) = (json!([]), json!(1_000_000));
+    *object.pointer_mut(path).unwrap() = value;
+    let read = settings::read(&object).and_then(|_| settings::connect_timeout(&object));
     let error = read.unwrap_err();
-    assert!(error.contains(says) && !error.contains('\n'), "{error}");
+    assert!(error.contains(expected) && !error.contains('\n'), "{error}");
 }
 
 #[test]
-fn what_is_absent_does_not_apply_and_what_is_unknown_is_passed_over() {
-    let mut v = reported();
-    v["limits"] = json!({"inventedLater": 7});
-    v["feedback"] = Value::Null;
-    let (set, _) = settings::read(&v).unwrap();
-    assert!(!set.second_copies && !set.load_reports && set.max_attempts == u32::MAX);
-    v["feedback"] = json!({"how": "inline", "columns": ["x1", "x9"]});
-    assert!(!settings::read(&v).unwrap().0.load_reports, "half of a report is none");
-    // What is said to be unused is: whatever stands there, nothing changes.
-    let read = settings::read(&reported()).unwrap().0;
+fn absent_values_do_not_apply_and_unknown_and_unused_keys_are_ignored() {
+    let mut object = limits_in_responses();
+    object["limits"] = json!({"inventedLater": 7});
+    object["feedback"] = Value::Null;
+    let (read, _) = settings::read(&object).unwrap();
+    assert!(!read.second_copies && !read.load_reports && read.max_attempts == u32::MAX);
+    object["feedback"] = json!({"how": "inline", "columns": ["x1", "x9"]});
+    assert!(!settings::read(&object).unwrap().0.load_reports, "a report needs both columns");
+    // A key that is documented as unused has no effect, whatever its value.
+    let read = settings::read(&limits_in_responses()).unwrap().0;
     for (key, _) in settings::UNUSED_KEYS {
-        let mut v = reported();
+        let mut object = limits_in_responses();
         let path = key.replace("classes.", "classes.0.").split('.').map(str::to_owned).collect::<Vec<_>>();
-        let at = path.iter().fold(&mut v, |v, key| match key.parse::<usize>() {
-            Ok(i) => &mut v[i],
-            Err(_) => &mut v[key.as_str()],
+        let unused = path.iter().fold(&mut object, |value, key| match key.parse::<usize>() {
+            Ok(i) => &mut value[i],
+            Err(_) => &mut value[key.as_str()],
         });
-        *at = json!([{"odd": true}]);
-        assert_eq!(settings::read(&v).map(|r| r.0), Ok(read.clone()), "{key}");
+        *unused = json!([{"odd": true}]);
+        assert_eq!(settings::read(&object).map(|r| r.0), Ok(read.clone()), "{key}");
     }
 }
 
@@ -106,34 +118,40 @@
 #[case(Some(5.0), Some(-0.1), false)]
 #[case(Some(f64::NAN), Some(0.2), false)]
 #[case(Some(5.0), Some(f64::INFINITY), false)]
-fn a_report_that_cannot_be_is_none(#[case] limit: Option<f64>, #[case] left: Option<f64>, #[case] is: bool) {
-    assert_eq!(load_report(limit, left), if is { (limit, left) } else { (None, None) });
+fn a_load_report_with_an_invalid_or_missing_value_is_ignored(
+    #[case] limit: Option<f64>, #[case] remaining_share: Option<f64>, #[case] valid: bool,
+) {
+    assert_eq!(
+        load_report(limit, remaining_share),
+        if valid { (limit, remaining_share) } else { (None, None) }
+    );
 }
 
-/// Deployments differ in all of this: what is named, how many there are, which effects, how long, and what is 0 or absent.
+/// Deployments differ in the names, number and order of classes, in their effects and times, and in which
+/// values are 0 or absent.
 #[rstest]
 #[case::names_of_any_text(json!([{"name": "a/b %?", "effect": "once", "giveUpUs": 200_000}, {"name": "é", "giveUpUs": 1}]))]
 #[case::one_class(json!([{"name": "", "effect": "repeatable", "giveUpUs": 36_000_000_000_u64, "targetUs": 1}]))]
-#[case::nothing_is_said(json!([{"name": "a"}]))]
-#[case::all_is_nothing(json!([{"name": "a", "giveUpUs": 0, "targetUs": 0, "worth": 0, "lateShare": 0, "windowUs": 0}]))]
+#[case::only_a_name(json!([{"name": "a"}]))]
+#[case::all_values_zero(json!([{"name": "a", "giveUpUs": 0, "targetUs": 0, "worth": 0, "lateShare": 0, "windowUs": 0}]))]
 #[case::another_order(json!([{"name": "z", "effect": "by_key", "windowUs": 1, "giveUpUs": 9}, {"name": "a", "effect": "once"}]))]
 fn settings_of_any_shape_are_read(#[case] classes: Value) {
     let zeros = json!({"limits": {"maxRetryAfterUs": 0, "connIdleUs": 0, "connectTimeoutUs": 0}, "overShareWorth": 0,
         "rules": {"askEveryUs": 0, "fallMultiple": 0, "fallUs": 0, "coldFrom": 0, "warmWithinUs": 0}, "prices": {}});
-    for mut v in [json!({}), zeros, listed(), reported()] {
-        v["classes"] = classes.clone();
-        let (set, names) = settings::read(&v).unwrap();
-        assert_eq!(settings::connect_timeout(&v), Ok(Micros(1_000_000)), "0 does not apply");
-        for (i, c) in classes.as_array().unwrap().iter().enumerate() {
-            assert_eq!(names.classes[c["name"].as_str().unwrap()], i);
-            let end = c["giveUpUs"].as_u64().filter(|end| *end > 0);
+    for mut object in [json!({}), zeros, limits_in_list(), limits_in_responses()] {
+        object["classes"] = classes.clone();
+        let (read, names) = settings::read(&object).unwrap();
+        assert_eq!(settings::connect_timeout(&object), Ok(Micros(1_000_000)), "0 does not apply");
+        for (i, class) in classes.as_array().unwrap().iter().enumerate() {
+            assert_eq!(names.classes[class["name"].as_str().unwrap()], i);
+            let end = class["giveUpUs"].as_u64().filter(|end| *end > 0);
             assert_eq!(
-                set.classes[i].give_up_after,
+                read.classes[i].give_up_after,
                 end.map_or(Micros(86_400_000_000), Micros),
-                "no end is none"
+                "0 or absent: one day"
             );
         }
-        assert!(set.slots > 0 && set.max_held > 0 && set.max_attempts > 0 && set.sender_count > 0);
-        assert!(settings::describe(&set, &names).len() > set.classes.len());
+        assert!(read.slots > 0 && read.max_held > 0 && read.max_attempts > 0 && read.sender_count > 0);
+        assert!(settings::describe(&read, &names).len() > read.classes.len());
     }
 }
--- a/preload/src/fault_plan.rs
+++ b/preload/src/fault_plan.rs
@@ -1,45 +1,47 @@
-//! The plan of faults: a few lines of `key = value`, which may be replaced while the process runs.
+//! The fault plan: a text file of `key = value` lines, which may be replaced while the process runs.
 
 /// How a write fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteFault {
-    /// With this error.
+    /// Every write fails with this error number.
     Errno(i32),
-    /// Half of it is written, and the next one fails.
+    /// Half of the data is written, and the next write fails.
     Short,
 }
 
-/// What is to fail.
+/// Which calls fail, and for which files.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FaultPlan {
-    /// Writes to files whose path holds `path` fail so.
+    /// How writes to files whose path contains `path` fail, if they do.
     pub write: Option<WriteFault>,
-    /// Truncations of such files fail, too.
+    /// Truncations of those files fail.
     pub truncate: bool,
-    /// Part of a path.
+    /// Part of a path, which selects the files.
     pub path: String,
 }
 
-/// Reads a plan.
+/// Parses a plan.
 ///
 /// # Errors
-/// One line with the number of the line, its key and what is wrong.
+/// A message of one line: the number of the invalid line, its key and what is wrong.
 pub fn parse(text: &str) -> Result<FaultPlan, String> {
     let mut plan = FaultPlan::default();
-    for (at, line) in text.lines().enumerate() {
+    for (index, line) in text.lines().enumerate() {
         let line = line.split('#').next().unwrap_or("").trim();
         if line.is_empty() {
             continue;
         }
-        let wrong = |what: &str| format!("line {}: {what}: {line}", at + 1);
-        let (key, value) = line.split_once('=').ok_or_else(|| wrong("not key = value"))?;
+        let error = |message: &str| format!("line {}: {message}: {line}", index + 1);
+        let (key, value) = line.split_once('=').ok_or_else(|| error("not key = value"))?;
         let value = value.trim().trim_matches('"');
         match key.trim() {
-            "write" => plan.write = Some(fault(value).ok_or_else(|| wrong("write: no such error"))?),
-            "truncate" => plan.truncate = value.parse().map_err(|_| wrong("truncate: true or false"))?,
+            "write" => {
+                plan.write = Some(parse_write_fault(value).ok_or_else(|| error("write: no such error"))?)
+            }
+            "truncate" => plan.truncate = value.parse().map_err(|_| error("truncate: true or false"))?,
             "path" if !value.is_empty() && !value.contains("..") => value.clone_into(&mut plan.path),
-            "path" => return Err(wrong("path: a part of a path inside the folder")),
-            _ => return Err(wrong("no such key")),
+            "path" => return Err(error("path: a part of a path inside the folder")),
+            _ => return Err(error("no such key")),
         }
     }
     if plan.write.is_some() && plan.path.is_empty() {
@@ -48,7 +50,7 @@
     Ok(plan)
 }
 
-fn fault(name: &str) -> Option<WriteFault> {
+fn parse_write_fault(name: &str) -> Option<WriteFault> {
     match name {
         "ENOSPC" => Some(WriteFault::Errno(libc::ENOSPC)),
         "EIO" => Some(WriteFault::Errno(libc::EIO)),
--- a/preload/tests/plan.rs
+++ b/preload/tests/plan.rs
@@ -1,9 +1,9 @@
-//! Plans of faults are read or refused with one line.
+//! Parsing of fault plans, and the errors of invalid ones.
 
 use onyxrock_preload::fault_plan::{FaultPlan, WriteFault, parse};
 
 #[test]
-fn a_plan_says_what_fails() {
+fn a_valid_plan_is_parsed() {
     let plan =
         parse("write = \"ENOSPC\"  # a full disk\npath = \"onyxrock.log\"\ntruncate = true\n").unwrap();
     let write = Some(WriteFault::Errno(28));
@@ -12,8 +12,8 @@
 }
 
 #[test]
-fn what_is_wrong_is_named_by_line_and_key() {
-    for (text, says) in [
+fn an_invalid_line_is_refused_by_its_number_and_key() {
+    for (text, expected) in [
         ("write = \"ENOENT\"", "line 1: write: no such error: write = \"ENOENT\""),
         ("\nread = \"EIO\"", "line 2: no such key: read = \"EIO\""),
         ("path = \"../x\"", "line 1: path: a part of a path inside the folder: path = \"../x\""),
@@ -21,6 +21,6 @@
         ("write", "line 1: not key = value: write"),
         ("write = \"EIO\"", "path: missing"),
     ] {
-        assert_eq!(parse(text), Err(says.to_owned()));
+        assert_eq!(parse(text), Err(expected.to_owned()));
     }
 }
