--- a/config/src/list.rs
+++ b/config/src/list.rs
@@ -63,8 +63,8 @@
 ///
 /// # Errors
 /// One line that begins with `list:`.
-pub fn read(v: &Value, names: &NameIndex) -> Result<EndpointList, String> {
-    parse(v.to_string().as_bytes(), names)
+pub fn read(list: &Value, names: &NameIndex) -> Result<EndpointList, String> {
+    parse(list.to_string().as_bytes(), names)
 }
 
 /// Reads a list from its JSON text; see [`read`].
--- a/roster/src/table.rs
+++ b/roster/src/table.rs
@@ -68,8 +68,8 @@
     /// Index of the next record of the same destination, or [`NO_RECORD`].
     next: u32,
     weight: f32,
-    /// Value of `EndpointTable::epoch` when a list last named the endpoint.
-    epoch: u32,
+    /// Value of `EndpointTable::current_list` when a list last named the endpoint.
+    last_list: u32,
     /// An IPv4 address, or an index into `EndpointTable::ipv6_addresses` if `is_ipv6` is set.
     ip: u32,
     name_len: u16,
@@ -95,8 +95,8 @@
     /// Index of the first record of each destination; the others are chained by `Record::next`.
     by_destination: HashTable<u32>,
     hash: DefaultHashBuilder,
-    /// Number of the latest complete list.
-    epoch: u32,
+    /// Number of the latest complete list; it wraps around.
+    current_list: u32,
     /// Index of the next record to check, while a complete list is being applied.
     sweep_position: Option<usize>,
 }
@@ -115,7 +115,7 @@
             by_name: HashTable::new(),
             by_destination: HashTable::new(),
             hash: DefaultHashBuilder::default(),
-            epoch: 0,
+            current_list: 0,
             sweep_position: None,
         }
     }
@@ -228,9 +228,9 @@
     /// # Errors
     /// [`EntryError`]; the table is unchanged.
     pub fn put(&mut self, entry: Endpoint<'_>) -> Result<Option<Change>, EntryError> {
-        let epoch = self.epoch;
+        let current_list = self.current_list;
         if let Some(id) = self.find(entry.name) {
-            return self.update(id, &entry, epoch);
+            return self.update(id, &entry, current_list);
         }
         if entry.state == EntryState::Gone {
             return Ok(None);
@@ -250,7 +250,7 @@
             name_offset,
             next: NO_RECORD,
             weight: entry.weight,
-            epoch,
+            last_list: current_list,
             ip,
             name_len,
             port: entry.address.port(),
@@ -274,14 +274,14 @@
     }
 
     fn update(
-        &mut self, id: RosterId, entry: &Endpoint<'_>, epoch: u32,
+        &mut self, id: RosterId, entry: &Endpoint<'_>, current_list: u32,
     ) -> Result<Option<Change>, EntryError> {
         let (unchanged, destination) = match self.get(id) {
             Some(known) => (known == *entry, known.destination),
             None => return Ok(None),
         };
         let index = id.0 as usize;
-        self.records[index].epoch = epoch;
+        self.records[index].last_list = current_list;
         if unchanged {
             return Ok(None);
         }
@@ -394,7 +394,7 @@
 
     /// Begins a complete list: its entries follow by [`EndpointTable::put`].
     pub fn begin_complete_list(&mut self) {
-        self.epoch = self.epoch.wrapping_add(1);
+        self.current_list = self.current_list.wrapping_add(1);
         self.sweep_position = Some(0);
     }
 
@@ -407,7 +407,7 @@
         let end = (start.saturating_add(max_records.max(1))).min(self.records.capacity());
         for index in start..end {
             let Some(record) = self.records.get_mut(index) else { continue };
-            if record.epoch != self.epoch && record.state != EntryState::Gone {
+            if record.last_list != self.current_list && record.state != EntryState::Gone {
                 record.state = EntryState::Gone;
                 gone.push(Change::Gone(RosterId(index as u32)));
             }
--- a/roster/tests/directory.rs
+++ b/roster/tests/directory.rs
@@ -144,9 +144,9 @@
         "messages may be held for it"
     );
     for i in 0..10 {
-        let n = if i % 2 == 0 { 1 } else { 50_000 };
-        put_complete_list(&mut directory, secs(2.0 + f64::from(i)), &endpoint_names(0, n));
-        assert_eq!(directory.listed_endpoint_count(), n);
+        let count = if i % 2 == 0 { 1 } else { 50_000 };
+        put_complete_list(&mut directory, secs(2.0 + f64::from(i)), &endpoint_names(0, count));
+        assert_eq!(directory.listed_endpoint_count(), count);
     }
     assert_eq!(directory.destination_status(secs(12.0), 30_000), DestinationStatus::Known);
 }
