--- a/duties/src/fence.rs
+++ b/duties/src/fence.rs
@@ -1,50 +1,52 @@
-//! The side that receives what is done under a duty.
+//! The fence at the receiver of a duty's effects, which refuses outdated epochs.
 
 use crate::{Duty, Epoch};
 use std::collections::BTreeMap;
 
-/// Duties that are told apart; an unknown one beyond them is refused, which costs time and lets nothing stale in.
-const KNOWN_MOST: usize = 100_000;
+/// Maximum number of duties that the fence tracks. It refuses any further duty, which costs time but admits
+/// no outdated effect.
+const MAX_TRACKED_DUTIES: usize = 100_000;
 
-/// Refuses what comes from an earlier lease than one that it has heard of. A holder that stood still, or whose datagrams
-/// did, may act long after its lease was another's; its clock cannot tell it, the receiver can.
+/// Refuses effects under a lease earlier than one already seen. A holder that was suspended, or whose
+/// datagrams were delayed, may act long after another member has won the lease. The holder's own clock cannot
+/// show this; the receiver can detect it.
 #[derive(Clone, Debug, Default)]
 pub struct Fence {
     highest: BTreeMap<Duty, Epoch>,
-    refused: u64,
+    refused_count: u64,
 }
 
 impl Fence {
-    /// What was done under this epoch may take effect here.
+    /// Whether an effect under this epoch may be applied here. Remembers the epoch if so.
     pub fn admit(&mut self, duty: Duty, epoch: Epoch) -> bool {
-        let room = self.highest.len() < KNOWN_MOST;
+        let has_capacity = self.highest.len() < MAX_TRACKED_DUTIES;
         let admitted = match self.highest.get_mut(&duty) {
             Some(highest) if epoch < *highest => false,
             Some(highest) => {
                 *highest = epoch;
                 true
             }
-            // Zero is nobody's epoch.
-            None if room && epoch > 0 => {
+            // No lease has epoch zero.
+            None if has_capacity && epoch > 0 => {
                 self.highest.insert(duty, epoch);
                 true
             }
             None => false,
         };
-        self.refused += u64::from(!admitted);
+        self.refused_count += u64::from(!admitted);
         admitted
     }
 
-    /// The highest epoch seen of a duty; zero if none.
+    /// The highest epoch seen for a duty; zero if none.
     #[must_use]
     pub fn highest(&self, duty: Duty) -> Epoch {
         self.highest.get(&duty).copied().unwrap_or(0)
     }
 
-    /// What was refused since the start.
+    /// The number of effects refused since the start.
     #[must_use]
-    pub fn refused(&self) -> u64 {
-        self.refused
+    pub fn refused_count(&self) -> u64 {
+        self.refused_count
     }
 }
 
@@ -54,12 +56,13 @@
     use crate::DutyKind;
 
     #[test]
-    fn what_comes_from_an_earlier_lease_is_refused_and_counted() {
-        let (a, b) = (Duty { kind: DutyKind::List, target: 0 }, Duty { kind: DutyKind::Probe, target: 0 });
+    fn effects_under_an_earlier_lease_are_refused_and_counted() {
+        let (list_duty, probe_duty) =
+            (Duty { kind: DutyKind::List, target: 0 }, Duty { kind: DutyKind::Probe, target: 0 });
         let mut fence = Fence::default();
-        assert!(!fence.admit(a, 0), "no lease has that epoch");
-        assert!(fence.admit(a, 3) && fence.admit(a, 3) && fence.admit(b, 1));
-        assert!(fence.admit(a, 5) && !fence.admit(a, 3) && !fence.admit(a, 4));
-        assert_eq!((fence.highest(a), fence.highest(b), fence.refused()), (5, 1, 3));
+        assert!(!fence.admit(list_duty, 0), "no lease has epoch zero");
+        assert!(fence.admit(list_duty, 3) && fence.admit(list_duty, 3) && fence.admit(probe_duty, 1));
+        assert!(fence.admit(list_duty, 5) && !fence.admit(list_duty, 3) && !fence.admit(list_duty, 4));
+        assert_eq!((fence.highest(list_duty), fence.highest(probe_duty), fence.refused_count()), (5, 1, 3));
     }
 }
--- a/duties/src/lib.rs
+++ b/duties/src/lib.rs
@@ -1,52 +1,62 @@
-//! Which of several instances does a periodic duty, and how often: no I/O, no clock, no wire.
+//! Decides which instance runs a periodic duty and how often. Does no I/O and reads no clock or network.
 //!
-//! A [`Duty`] is something that one instance should do for all, such as probing one partner. The members are known by
-//! place in a list that is the same at all of them; the first few are voters. A duty is done under a lease:
+//! A [`Duty`] is a task that one instance should run on behalf of all, such as probing one partner. Members
+//! are identified by their index in a list that is the same at every member; the first few of them are
+//! voters. A duty runs under a lease:
 //!
-//! - [`Voter`] promises a duty to one member at a time, for a span of its own clock. After a start it promises nothing
-//!   for one such span, since an earlier process may have. What is kept over a restart is one number, [`Memory`].
-//! - [`Holder`] asks the voters and holds a lease where a majority has promised, until the lease's length after the
-//!   oldest of those questions *left*. Promises run from when the question *came* and a margin longer, so that they end
-//!   later by any two clocks whose rates differ by less than the margin. What the clocks show does not matter.
-//! - [`Holder::begin`] is the only way to do something under a lease. It passes where the whole patience of the doing
-//!   fits into what is left of the lease, the last doing has ended, and the gap of the pace has passed both since it
-//!   began and since the lease was won.
+//! - [`Voter`] promises a duty to one member at a time, for a period of its own clock. For one such period
+//!   after its start it promises nothing, because an earlier process of it may have made promises. It keeps
+//!   one number across restarts, [`StoredBound`].
+//! - [`Holder`] sends requests to the voters and holds a lease once a majority has promised it. The lease
+//!   ends its duration after the oldest of those requests was *sent*. A promise runs from the time at which
+//!   the request was *received*, and a margin longer, so that it outlives the lease on any two clocks whose
+//!   rates differ by less than the margin. The absolute time that the clocks show does not matter.
+//! - [`Holder::begin`] is the only way to start a run under a lease. It succeeds if the whole run timeout
+//!   fits into the rest of the lease, the previous run has ended, and the minimum interval has passed both
+//!   since that run began and since the lease was won.
+//! - Every lease has an [`Epoch`]: a voter promises a duty to another holder only under an epoch higher than
+//!   any that it knows for this duty. So no two leases share an epoch, and a later lease has the higher one.
+//!   The receiver of the effects of a duty keeps a [`Fence`] and refuses an epoch lower than the highest that
+//!   it has seen. This stops a holder that was suspended between its last check of the clock and the effect
+//!   itself.
 //!
-//! - Every lease has an [`Epoch`]: a voter promises a duty anew only under one that is higher than any it has known of
-//!   it, so no two leases share one, and a later lease has the higher. Whatever receives what is done under a duty keeps
-//!   a [`Fence`] and refuses an epoch lower than the highest it has seen: that is what stops a holder that stood still
-//!   between its last look at the clock and the act itself.
+//! The first three rules guarantee, during every network partition and crash and whatever members believe
+//! about each other: two runs of one duty never overlap, and they begin at least the minimum interval apart.
+//! The argument is in `docs/design/duties.md`; the model in `tests/model.rs` runs this code through all
+//! interleavings of crash, restart, delay, loss, duplication and partition.
 //!
-//! From the first three follows what must hold in every split and crash, with nothing said about who sees whom: two doings
-//! of one duty never overlap, and begin at least a gap apart. The argument is in `docs/design/duties.md`; the model in
-//! `tests/model.rs` runs this code through all interleavings of crash, restart, delay, loss, duplicate and split.
-//!
-//! Who *should* hold a lease is a matter of liveness alone: rendezvous hashing orders the members, so that each
-//! duty has a first, and the first that is alive asks for it. [`Book`] puts all this together for one instance.
+//! Which member *should* hold a lease matters for liveness only: rendezvous hashing ranks the members for
+//! each duty, and the first one that is alive requests the lease. [`DutyTable`] combines all of this for one
+//! instance.
 //!
 //! ```
 //! use onyxrock::interface::Micros;
-//! use onyxrock_duties::{Book, Duty, Kind, Member, Memory, Terms};
+//! use onyxrock_duties::{Duty, DutyKind, DutyTable, LeaseTerms, Member, StoredBound};
 //!
-//! // One member that is its own majority.
-//! let terms = Terms { lease: Micros(3_000_000), gap: Micros(500_000), patience: Micros(1_000_000) };
-//! let mut book = Book::new(Member(0), 1, 1, terms, 7, Micros(0), Memory::Lost);
-//! let duty = Duty { kind: Kind::Probe, of: 57 };
-//! book.view(Micros(0), [Member(0)].into());
-//! book.want(duty, Micros(60_000_000));
+//! // A single member is its own majority.
+//! let terms = LeaseTerms {
+//!     duration: Micros(3_000_000),
+//!     min_interval: Micros(500_000),
+//!     run_timeout: Micros(1_000_000),
+//! };
+//! let mut table = DutyTable::new(Member(0), 1, 1, terms, 7, Micros(0), StoredBound::Lost);
+//! let duty = Duty { kind: DutyKind::Probe, target: 57 };
+//! table.set_alive(Micros(0), [Member(0)].into());
+//! table.want(duty, Micros(60_000_000));
 //!
-//! // It promised nothing yet: an earlier process of it may have. After that span it is asked again, and promises.
+//! // The voter promises nothing for its first period, because an earlier process of it may have made
+//! // promises. After that it grants the request.
 //! let mut now = Micros(0);
-//! while book.begin(now, duty).is_err() {
-//!     now = now.after(Micros(100_000));
-//!     let others = book.tick(now);
-//!     // The caller makes this number last before the voter goes on.
-//!     book.to_keep().into_iter().for_each(|n| book.kept(n));
-//!     assert!(others.is_empty(), "its own vote needs no wire");
+//! while table.begin(now, duty).is_err() {
+//!     now = now.plus(Micros(100_000));
+//!     let others = table.tick(now);
+//!     // The caller persists this number before the voter relies on it.
+//!     table.bound_to_persist().into_iter().for_each(|n| table.mark_bound_persisted(n));
+//!     assert!(others.is_empty(), "the member's own vote needs no message");
 //! }
-//! assert!(now >= terms.span());
-//! // While that is being done, and until the gap has passed, nothing more may begin.
-//! assert!(book.begin(now, duty).is_err());
+//! assert!(now >= terms.promise_duration());
+//! // No other run may begin during this one, nor before the minimum interval has passed.
+//! assert!(table.begin(now, duty).is_err());
 //! ```
 
 mod duty_table;
@@ -56,38 +66,38 @@
 mod rank;
 mod voter;
 
-pub use duty_table::{DutyTable, Output, Owned};
+pub use duty_table::{DutyTable, HeldLease, Output};
 pub use fence::Fence;
-pub use holder::{Holder, NotNow};
-pub use message::{DUTIES_MOST, Message};
+pub use holder::{Holder, RunError};
+pub use message::{MAX_DUTIES_PER_MESSAGE, Message};
 pub use voter::{StoredBound, Voter};
 
 use onyxrock::interface::Micros;
 use serde::{Deserialize, Serialize};
 
-/// A member, by its place in the list that all share.
+/// A member, identified by its index in the list that all members share.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 pub struct Member(pub u16);
 
-/// One life of a member: a number that no other process of it has.
+/// Identifies one process of a member; no other process of this member has the same number.
 pub type BootId = u64;
 
-/// Which lease of a duty: of two, the later one has the higher number. Zero is none.
+/// Number of a lease of a duty. A later lease has a higher number; zero means no lease.
 pub type Epoch = u64;
 
-/// What kind of duty.
+/// The kind of a duty.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 pub enum DutyKind {
-    /// Probing a partner that is doubted or returning.
+    /// Probes a partner that is suspected or is coming back.
     Probe,
-    /// Asking for the list of endpoints, and telling the others.
+    /// Fetches the endpoint list from discovery and passes changes on to the other members.
     List,
-    /// Leading the fleet: what must be decided by one at a time is decided by this one.
+    /// Coordinates the fleet: makes the decisions that only one member at a time may make.
     Coordinator,
 }
 
 impl DutyKind {
-    /// As people and JSON read it.
+    /// The name in JSON and in operator output.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -98,34 +108,36 @@
     }
 }
 
-/// Something that one instance does for all.
+/// A task that one instance runs on behalf of all.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 pub struct Duty {
-    /// What is done.
+    /// The kind of task.
     pub kind: DutyKind,
-    /// To whom: the number of a destination.
+    /// The number of the destination that the task is about.
     #[serde(rename = "of")]
     pub target: u64,
 }
 
-/// The terms of every lease; the same at all members.
+/// The terms of every lease; they are the same at all members.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct LeaseTerms {
-    /// How long a lease holds without renewal.
+    /// How long a lease lasts without renewal.
     pub duration: Micros,
-    /// Between two beginnings of one duty, whoever does it.
+    /// The minimum time between the beginnings of two runs of one duty, whichever member runs it.
     pub min_interval: Micros,
-    /// How long one doing may take at most; less than the lease.
+    /// The longest time that one run may take; shorter than the lease.
     pub run_timeout: Micros,
 }
 
 impl LeaseTerms {
-    /// How long a promise of a voter binds it: the lease and a tenth more, for clocks that run at other rates.
+    /// How long a promise binds its voter: the lease and a tenth more, to allow for clocks that run at
+    /// different rates.
     #[must_use]
     pub fn promise_duration(self) -> Micros {
         self.duration.plus(Micros(self.duration.0.div_ceil(10)))
     }
-    /// How often a lease is renewed: a lost question or answer may be made good before it is over.
+    /// How often a lease is renewed. A quarter of the lease leaves time to repeat a lost request or response
+    /// before the lease ends.
     #[must_use]
     pub fn renew_interval(self) -> Micros {
         Micros((self.duration.0 / 4).max(1))
--- a/duties/src/message.rs
+++ b/duties/src/message.rs
@@ -1,78 +1,81 @@
-//! What members say to each other about duties.
+//! The messages about duties that members exchange.
 
 use crate::{BootId, Duty, Epoch};
 use serde::{Deserialize, Serialize};
 
-/// Duties in one message; more go in several, so that each fits in a datagram.
-pub const DUTIES_MOST: usize = 32;
+/// The maximum number of duties in one message. More are split over several messages, so that each fits in a
+/// datagram.
+pub const MAX_DUTIES_PER_MESSAGE: usize = 32;
 
-/// Between members. Messages may be lost, come late, twice and in any order; who sent one is known for sure.
+/// A message between members. Messages may be lost, delayed, delivered twice and reordered; the sender of
+/// each is authenticated.
 ///
-/// Times are microseconds on the asking holder's own clock and mean nothing to anybody else.
+/// Times are microseconds of the requesting holder's own clock and mean nothing to any other member.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
 pub enum Message {
-    /// To a voter: a lease is wanted, or wanted for longer.
+    /// Asks a voter to grant or to renew leases.
     #[serde(rename = "Ask")]
     LeaseRequest {
-        /// Which life of the sender asks.
+        /// The process that sent the request.
         boot: BootId,
-        /// When the question left.
+        /// When the request was sent.
         sent: u64,
-        /// For what, and under which epoch.
+        /// The duties requested, each with the epoch of its lease.
         duties: Vec<(Duty, Epoch)>,
     },
-    /// The voter's answer.
+    /// A voter's response to a request.
     #[serde(rename = "Answer")]
     LeaseResponse {
-        /// Which life had asked.
+        /// The process that had sent the request.
         boot: BootId,
-        /// When that question had left.
+        /// When that request was sent.
         sent: u64,
-        /// Promised to the one that asked, under the epoch that it named.
+        /// Duties promised to the requesting process, under the epochs that it named.
         granted: Vec<(Duty, Epoch)>,
-        /// Not promised, and the highest epoch that the voter knows of it: the next question needs a higher one.
+        /// Duties not promised, each with the highest epoch that the voter knows for it: the next request
+        /// needs a higher one.
         refused: Vec<(Duty, Epoch)>,
     },
-    /// To a voter: what was asked for up to then is not wanted any more.
+    /// Tells a voter that the sender gives up the leases that it has requested so far.
     Release {
-        /// Which life of the sender.
+        /// The process of the sender.
         boot: BootId,
-        /// Questions that left later than this stand.
+        /// Requests sent later than this remain valid.
         sent: u64,
-        /// For what.
+        /// The duties given up.
         duties: Vec<Duty>,
     },
-    /// To the other voters, from one that has lost what it kept: which epochs may have been handed out?
+    /// Asks another voter for its highest epoch, on behalf of a voter that has lost its stored bound.
     #[serde(rename = "Recall")]
     EpochQuery {
-        /// Which life of the sender asks.
+        /// The process that sent the query.
         boot: BootId,
     },
-    /// The answer.
+    /// The response to an epoch query.
     #[serde(rename = "Bound")]
     EpochBound {
-        /// Which life had asked.
+        /// The process that had sent the query.
         boot: BootId,
-        /// No epoch of any duty that this voter knows is higher.
+        /// The highest epoch, over all duties, that the responding voter knows.
         bound: Epoch,
     },
-    /// To the member whose duty it should be: the sender wants it done.
+    /// Tells the member that should hold the leases that the sender wants these duties to run.
     Want {
-        /// What.
+        /// The duties wanted.
         duties: Vec<Duty>,
     },
 }
 
 impl Message {
-    /// A message with more than this was not made by us.
+    /// Whether the message holds no more duties than any sender of this protocol puts into one.
     #[must_use]
-    pub fn fits(&self) -> bool {
-        let n = match self {
+    pub fn is_within_limit(&self) -> bool {
+        let count = match self {
             Message::LeaseRequest { duties, .. } => duties.len(),
             Message::Release { duties, .. } | Message::Want { duties } => duties.len(),
             Message::LeaseResponse { granted, refused, .. } => granted.len() + refused.len(),
             Message::EpochQuery { .. } | Message::EpochBound { .. } => 0,
         };
-        n <= DUTIES_MOST
+        count <= MAX_DUTIES_PER_MESSAGE
     }
 }
--- a/duties/src/voter.rs
+++ b/duties/src/voter.rs
@@ -1,199 +1,213 @@
-//! The side that promises.
+//! The voter's side of the protocol: promises duties to holders.
 
 use crate::{BootId, Duty, Epoch, LeaseTerms, Member, Message};
 use onyxrock::interface::Micros;
 use std::collections::BTreeMap;
 
-/// Promises that are kept at once; beyond it nothing new is promised.
-const PROMISES_MOST: usize = 100_000;
-/// Epochs that one writing makes last: a lease won in each second needs one in a quarter of an hour.
-const BLOCK: Epoch = 1000;
+/// Maximum number of promises at a time; beyond it the voter makes no new ones.
+const MAX_PROMISES: usize = 100_000;
+/// Number of epochs that one write to disk reserves: at one lease won per second, one write every quarter of
+/// an hour.
+const EPOCH_BLOCK: Epoch = 1000;
 
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 struct Promise {
-    to: Member,
-    /// A member that has started anew is another one here: what its earlier life began may not be over.
+    holder: Member,
+    /// A restarted member counts as another holder here, because a run that its earlier process began may not
+    /// be over.
     boot: BootId,
     epoch: Epoch,
-    /// When the latest question left that this promise answers, on the holder's clock.
+    /// When the latest request that this promise granted was sent, on the holder's clock.
     sent: u64,
-    /// It binds until then, on the voter's clock.
-    until: Micros,
+    /// When the promise expires, on the voter's clock.
+    expires_at: Micros,
 }
 
-/// What a voter still has of its earlier lives.
+/// What a voter still knows from its earlier processes.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum StoredBound {
-    /// No epoch that it knew was higher.
+    /// No epoch that the voter knew was higher than this.
     Known(Epoch),
-    /// Nothing: it is new, or its folder was wiped. It votes once enough of the others have told theirs.
+    /// The bound is missing: the voter is new, or its state folder was deleted. The voter votes once enough
+    /// of the other voters have reported their bounds.
     Lost,
 }
 
-/// Promises each duty to one life of one member at a time, under an epoch higher than any before.
+/// Promises each duty to one process of one member at a time, under an epoch higher than any before.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct Voter {
     terms: LeaseTerms,
-    /// Nothing is promised before: an earlier process may have promised it elsewhere.
-    quiet: Micros,
+    /// No promises before this time: an earlier process may have promised the duty to another member.
+    silent_until: Micros,
     promises: BTreeMap<Duty, Promise>,
-    /// Any duty may have had any epoch up to this.
-    floor: Epoch,
-    /// The highest epoch of single duties beyond it, and whose it is.
+    /// Every duty may have had any epoch up to this one.
+    epoch_floor: Epoch,
+    /// The highest epoch of each duty beyond `epoch_floor`, and the holder of that lease.
     highest: BTreeMap<Duty, (Epoch, Member, BootId)>,
-    /// Epochs up to this will be known to the next process, too; none beyond it is promised.
-    durable: Epoch,
-    /// The highest that was asked for beyond it: another voter, which has started anew, may know of higher ones.
-    wanted: Epoch,
-    /// Whom it still has to hear before it votes, and what it has heard.
-    lost: Option<Lost>,
+    /// The next process will know of epochs up to this one; the voter promises none beyond it.
+    persisted_bound: Epoch,
+    /// The highest epoch beyond `persisted_bound` that was requested: another voter, which has restarted, may
+    /// know of higher epochs.
+    highest_requested: Epoch,
+    /// Set while the voter has to collect bounds from other voters before it votes.
+    recovery: Option<Recovery>,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
-struct Lost {
-    need: usize,
-    heard: BTreeMap<Member, Epoch>,
+struct Recovery {
+    reports_needed: usize,
+    bounds: BTreeMap<Member, Epoch>,
 }
 
 impl Voter {
-    /// One of so many voters, in a process that starts now.
+    /// Creates one of `voters` voters, in a process that starts now.
     #[must_use]
     pub fn new(terms: LeaseTerms, voters: u16, now: Micros, memory: StoredBound) -> Voter {
         let quorum = voters / 2 + 1;
-        // An epoch was known to a majority. Without this voter all but so many others may not know it, and one of those
-        // that are heard must.
-        let need = usize::from((voters - quorum + 1).min(voters - 1));
-        let (floor, lost) = match memory {
-            StoredBound::Known(floor) => (floor, None),
-            StoredBound::Lost => (0, (need > 0).then(|| Lost { need, heard: BTreeMap::new() })),
+        // A majority knew each epoch. This voter aside, up to `voters - quorum` others may not know it, so
+        // that at least one of the voters that report must know it.
+        let reports_needed = usize::from((voters - quorum + 1).min(voters - 1));
+        let (epoch_floor, recovery) = match memory {
+            StoredBound::Known(epoch_floor) => (epoch_floor, None),
+            StoredBound::Lost => {
+                (0, (reports_needed > 0).then(|| Recovery { reports_needed, bounds: BTreeMap::new() }))
+            }
         };
         let (promises, highest) = (BTreeMap::new(), BTreeMap::new());
         Voter {
             terms,
-            quiet: now.plus(terms.promise_duration()),
+            silent_until: now.plus(terms.promise_duration()),
             promises,
-            floor,
+            epoch_floor,
             highest,
-            durable: floor,
-            wanted: 0,
-            lost,
+            persisted_bound: epoch_floor,
+            highest_requested: 0,
+            recovery,
         }
     }
 
-    /// The answer to a question, if the message is one.
+    /// Processes a message to a voter and returns the response, if it needs one.
     pub fn receive(&mut self, now: Micros, from: Member, message: &Message) -> Option<Message> {
         match message {
             Message::LeaseRequest { boot, sent, duties } => {
                 let (mut granted, mut refused) = (Vec::new(), Vec::new());
                 for (duty, epoch) in duties {
-                    if self.ask(now, from, *boot, *sent, *duty, *epoch) {
+                    if self.grant(now, from, *boot, *sent, *duty, *epoch) {
                         granted.push((*duty, *epoch));
                     } else {
-                        refused.push((*duty, self.known(*duty)));
+                        refused.push((*duty, self.highest_known(*duty)));
                     }
                 }
                 Some(Message::LeaseResponse { boot: *boot, sent: *sent, granted, refused })
             }
             Message::Release { boot, sent, duties } => {
                 for duty in duties {
-                    let theirs = |p: &Promise| (p.to, p.boot) == (from, *boot);
-                    // A release that comes late must not undo what was asked for after it.
-                    if self.promises.get(duty).is_some_and(|p| theirs(p) && p.sent <= *sent) {
+                    let is_senders = |p: &Promise| (p.holder, p.boot) == (from, *boot);
+                    // A delayed release must not cancel a promise that a later request has renewed.
+                    if self.promises.get(duty).is_some_and(|p| is_senders(p) && p.sent <= *sent) {
                         self.promises.remove(duty);
                     }
                 }
                 None
             }
-            Message::EpochQuery { boot } => Some(Message::EpochBound { boot: *boot, bound: self.bound() }),
+            Message::EpochQuery { boot } => {
+                Some(Message::EpochBound { boot: *boot, bound: self.epoch_bound() })
+            }
             Message::LeaseResponse { .. } | Message::Want { .. } | Message::EpochBound { .. } => None,
         }
     }
 
-    fn known(&self, duty: Duty) -> Epoch {
-        self.highest.get(&duty).map_or(0, |h| h.0).max(self.floor)
+    fn highest_known(&self, duty: Duty) -> Epoch {
+        self.highest.get(&duty).map_or(0, |highest| highest.0).max(self.epoch_floor)
     }
 
-    /// No epoch that it knows is higher.
+    /// The highest epoch that the voter knows, over all duties.
     #[must_use]
-    pub fn bound(&self) -> Epoch {
-        self.highest.values().map(|h| h.0).fold(self.floor, Epoch::max)
+    pub fn epoch_bound(&self) -> Epoch {
+        self.highest.values().map(|highest| highest.0).fold(self.epoch_floor, Epoch::max)
     }
 
-    fn ask(&mut self, now: Micros, from: Member, boot: BootId, sent: u64, duty: Duty, epoch: Epoch) -> bool {
-        if epoch > self.durable {
-            self.wanted = self.wanted.max(epoch);
+    fn grant(
+        &mut self, now: Micros, from: Member, boot: BootId, sent: u64, duty: Duty, epoch: Epoch,
+    ) -> bool {
+        if epoch > self.persisted_bound {
+            self.highest_requested = self.highest_requested.max(epoch);
         }
-        if now < self.quiet || self.lost.is_some() || epoch > self.durable {
+        if now < self.silent_until || self.recovery.is_some() || epoch > self.persisted_bound {
             return false;
         }
-        let (until, known) = (now.plus(self.terms.promise_duration()), self.known(duty));
-        let live = self.promises.get(&duty).copied().filter(|p| p.until > now);
-        match live {
-            Some(p) if (p.to, p.boot) != (from, boot) => return false,
-            // Questions may come out of order: a promise only ever grows.
+        let (expires_at, known) = (now.plus(self.terms.promise_duration()), self.highest_known(duty));
+        let current = self.promises.get(&duty).copied().filter(|p| p.expires_at > now);
+        match current {
+            Some(p) if (p.holder, p.boot) != (from, boot) => return false,
+            // Requests may arrive out of order: a promise is only ever extended.
             Some(p) if p.epoch == epoch => {
-                let grown = Promise { sent: p.sent.max(sent), until: p.until.max(until), ..p };
-                self.promises.insert(duty, grown);
+                let extended =
+                    Promise { sent: p.sent.max(sent), expires_at: p.expires_at.max(expires_at), ..p };
+                self.promises.insert(duty, extended);
                 return true;
             }
-            // What ran out here may still be held by others' promises: its holder, and nobody else, has it again.
+            // The promise has expired here, but promises of other voters may still support the lease: only
+            // its holder may have the same epoch again.
             _ if epoch < known || epoch == known && self.highest.get(&duty) != Some(&(epoch, from, boot)) => {
                 return false;
             }
             _ => {}
         }
-        if live.is_none() && self.promises.len() >= PROMISES_MOST {
-            self.tidy(now);
-            if self.promises.len() >= PROMISES_MOST {
+        if current.is_none() && self.promises.len() >= MAX_PROMISES {
+            self.remove_expired(now);
+            if self.promises.len() >= MAX_PROMISES {
                 return false;
             }
         }
         self.highest.insert(duty, (epoch, from, boot));
-        if self.highest.len() > PROMISES_MOST {
-            self.floor = self.bound();
+        if self.highest.len() > MAX_PROMISES {
+            self.epoch_floor = self.epoch_bound();
             self.highest.clear();
         }
-        self.promises.insert(duty, Promise { to: from, boot, epoch, sent, until });
+        self.promises.insert(duty, Promise { holder: from, boot, epoch, sent, expires_at });
         true
     }
 
-    /// Forgets promises that are over.
-    pub fn tidy(&mut self, now: Micros) {
-        self.promises.retain(|_, p| p.until > now);
+    /// Removes expired promises.
+    pub fn remove_expired(&mut self, now: Micros) {
+        self.promises.retain(|_, p| p.expires_at > now);
     }
 
-    /// The caller should make it last that no higher epoch than this is promised, and then say [`Voter::kept`].
+    /// The bound on promised epochs that the caller should persist now, if a write is due. The caller reports
+    /// the completed write with [`Voter::mark_bound_persisted`].
     #[must_use]
-    pub fn to_keep(&self) -> Option<Epoch> {
-        let next = self.bound().max(self.wanted).saturating_add(BLOCK);
-        (self.lost.is_none() && self.durable < next - BLOCK / 2).then_some(next)
+    pub fn bound_to_persist(&self) -> Option<Epoch> {
+        let next = self.epoch_bound().max(self.highest_requested).saturating_add(EPOCH_BLOCK);
+        (self.recovery.is_none() && self.persisted_bound < next - EPOCH_BLOCK / 2).then_some(next)
     }
 
-    /// That number outlives the process now.
-    pub fn kept(&mut self, bound: Epoch) {
-        self.durable = self.durable.max(bound);
+    /// Records that the bound has been persisted and survives the process.
+    pub fn mark_bound_persisted(&mut self, bound: Epoch) {
+        self.persisted_bound = self.persisted_bound.max(bound);
     }
 
-    /// It does not vote yet, for it has lost its memory.
+    /// Whether the voter does not vote yet because its stored bound was lost.
     #[must_use]
-    pub fn is_lost(&self) -> bool {
-        self.lost.is_some()
+    pub fn is_recovering(&self) -> bool {
+        self.recovery.is_some()
     }
 
-    /// It has lost its memory, and may ask the others. Not before what it may have promised is over: until then a holder
-    /// may count it beside a voter that has not heard of the lease yet.
+    /// Whether the voter, whose stored bound was lost, may query the others now. It waits until the promises
+    /// that it may have made have expired: until then a holder may count one of them towards a majority that
+    /// includes a voter which does not know of the lease yet.
     #[must_use]
-    pub fn asks_others(&self, now: Micros) -> bool {
-        self.lost.is_some() && now >= self.quiet
+    pub fn may_query_voters(&self, now: Micros) -> bool {
+        self.recovery.is_some() && now >= self.silent_until
     }
 
-    /// Another voter has told its bound.
-    pub fn heard(&mut self, from: Member, bound: Epoch) {
-        let Some(lost) = &mut self.lost else { return };
-        lost.heard.insert(from, bound);
-        if lost.heard.len() >= lost.need {
-            self.floor = lost.heard.values().copied().fold(self.floor, Epoch::max);
-            self.lost = None;
+    /// Records the bound that another voter has reported.
+    pub fn record_bound(&mut self, from: Member, bound: Epoch) {
+        let Some(recovery) = &mut self.recovery else { return };
+        recovery.bounds.insert(from, bound);
+        if recovery.bounds.len() >= recovery.reports_needed {
+            self.epoch_floor = recovery.bounds.values().copied().fold(self.epoch_floor, Epoch::max);
+            self.recovery = None;
         }
     }
 }
@@ -207,9 +221,9 @@
         LeaseTerms { duration: Micros(40), min_interval: Micros(10), run_timeout: Micros(5) };
     const DUTY: Duty = Duty { kind: DutyKind::Coordinator, target: 0 };
 
-    fn ask(v: &mut Voter, now: u64, from: u16, epoch: Epoch) -> Result<Epoch, Epoch> {
-        let m = Message::LeaseRequest { boot: 1, sent: now, duties: vec![(DUTY, epoch)] };
-        match v.receive(Micros(now), Member(from), &m) {
+    fn request(voter: &mut Voter, now: u64, from: u16, epoch: Epoch) -> Result<Epoch, Epoch> {
+        let message = Message::LeaseRequest { boot: 1, sent: now, duties: vec![(DUTY, epoch)] };
+        match voter.receive(Micros(now), Member(from), &message) {
             Some(Message::LeaseResponse { granted, refused, .. }) => match granted.first() {
                 Some((_, e)) => Ok(*e),
                 None => Err(refused[0].1),
@@ -218,46 +232,60 @@
         }
     }
 
-    fn voter(memory: StoredBound) -> Voter {
-        let mut v = Voter::new(TERMS, 3, Micros(0), memory);
-        v.to_keep().into_iter().for_each(|n| v.kept(n));
-        v
+    fn new_voter(memory: StoredBound) -> Voter {
+        let mut voter = Voter::new(TERMS, 3, Micros(0), memory);
+        voter.bound_to_persist().into_iter().for_each(|n| voter.mark_bound_persisted(n));
+        voter
     }
 
     #[test]
-    fn a_new_promise_needs_a_higher_epoch_and_a_refusal_says_which() {
-        let mut v = voter(StoredBound::Known(0));
-        assert_eq!((ask(&mut v, 100, 0, 1), ask(&mut v, 101, 1, 2)), (Ok(1), Err(1)));
-        assert_eq!(ask(&mut v, 120, 0, 1), Ok(1), "the same lease grows");
-        assert_eq!(ask(&mut v, 200, 0, 1), Ok(1), "nobody had it meanwhile");
-        assert_eq!(ask(&mut v, 250, 1, 1), Err(1), "it was another's");
-        assert_eq!((ask(&mut v, 260, 1, 2), ask(&mut v, 261, 0, 9)), (Ok(2), Err(2)));
+    fn new_promise_needs_a_higher_epoch_and_a_refusal_names_the_known_one() {
+        let mut voter = new_voter(StoredBound::Known(0));
+        assert_eq!((request(&mut voter, 100, 0, 1), request(&mut voter, 101, 1, 2)), (Ok(1), Err(1)));
+        assert_eq!(request(&mut voter, 120, 0, 1), Ok(1), "the same lease is extended");
+        assert_eq!(request(&mut voter, 200, 0, 1), Ok(1), "no other holder had the lease meanwhile");
+        assert_eq!(request(&mut voter, 250, 1, 1), Err(1), "the epoch belongs to another holder");
+        assert_eq!((request(&mut voter, 260, 1, 2), request(&mut voter, 261, 0, 9)), (Ok(2), Err(2)));
     }
 
-    /// An epoch that is promised and then forgotten could be handed out twice.
+    /// An epoch that was promised and then forgotten could be granted to two leases.
     #[test]
-    fn nothing_is_promised_that_would_not_last() {
-        let mut v = Voter::new(TERMS, 3, Micros(0), StoredBound::Known(5));
-        assert_eq!(ask(&mut v, 100, 0, 6), Err(5));
-        assert_eq!(v.to_keep(), Some(6 + BLOCK));
-        v.kept(6 + BLOCK);
-        assert_eq!((ask(&mut v, 101, 0, 6), v.to_keep()), (Ok(6), None));
-        assert_eq!(ask(&mut v, 200, 1, 7 + BLOCK), Err(6), "beyond what lasts");
-        assert_eq!(v.to_keep(), Some(7 + 2 * BLOCK), "another voter knows of such");
-        let mut next = voter(StoredBound::Known(5 + BLOCK));
-        assert_eq!(ask(&mut next, 100, 1, 7), Err(5 + BLOCK), "the next process knows none of them apart");
+    fn no_epoch_beyond_the_persisted_bound_is_promised() {
+        let mut voter = Voter::new(TERMS, 3, Micros(0), StoredBound::Known(5));
+        assert_eq!(request(&mut voter, 100, 0, 6), Err(5));
+        assert_eq!(voter.bound_to_persist(), Some(6 + EPOCH_BLOCK));
+        voter.mark_bound_persisted(6 + EPOCH_BLOCK);
+        assert_eq!((request(&mut voter, 101, 0, 6), voter.bound_to_persist()), (Ok(6), None));
+        assert_eq!(request(&mut voter, 200, 1, 7 + EPOCH_BLOCK), Err(6), "beyond the persisted bound");
+        assert_eq!(
+            voter.bound_to_persist(),
+            Some(7 + 2 * EPOCH_BLOCK),
+            "another voter may know of higher epochs"
+        );
+        let mut next = new_voter(StoredBound::Known(5 + EPOCH_BLOCK));
+        assert_eq!(
+            request(&mut next, 100, 1, 7),
+            Err(5 + EPOCH_BLOCK),
+            "the next process cannot tell the epochs below the bound apart"
+        );
     }
 
     #[test]
-    fn one_that_has_lost_its_memory_votes_once_the_others_have_told_theirs() {
-        let mut v = Voter::new(TERMS, 3, Micros(0), StoredBound::Lost);
-        assert!(!v.asks_others(Micros(43)) && v.asks_others(Micros(44)), "its promises may stand until then");
-        assert_eq!((ask(&mut v, 100, 0, 1), v.to_keep()), (Err(0), None));
-        v.heard(Member(1), 0);
-        v.heard(Member(1), 0);
-        assert!(v.asks_others(Micros(100)), "one other of two is not enough: it may not have known");
-        v.heard(Member(2), 70);
-        v.to_keep().into_iter().for_each(|n| v.kept(n));
-        assert_eq!((ask(&mut v, 101, 0, 70), ask(&mut v, 101, 0, 71)), (Err(70), Ok(71)));
+    fn voter_without_stored_bound_votes_only_after_enough_reports() {
+        let mut voter = Voter::new(TERMS, 3, Micros(0), StoredBound::Lost);
+        assert!(
+            !voter.may_query_voters(Micros(43)) && voter.may_query_voters(Micros(44)),
+            "its earlier promises may still bind until then"
+        );
+        assert_eq!((request(&mut voter, 100, 0, 1), voter.bound_to_persist()), (Err(0), None));
+        voter.record_bound(Member(1), 0);
+        voter.record_bound(Member(1), 0);
+        assert!(
+            voter.may_query_voters(Micros(100)),
+            "one report of two is not enough: that voter may not know the epoch"
+        );
+        voter.record_bound(Member(2), 70);
+        voter.bound_to_persist().into_iter().for_each(|n| voter.mark_bound_persisted(n));
+        assert_eq!((request(&mut voter, 101, 0, 70), request(&mut voter, 101, 0, 71)), (Err(70), Ok(71)));
     }
 }
--- a/duties/tests/model.rs
+++ b/duties/tests/model.rs
@@ -1,334 +1,370 @@
-//! All interleavings of asking, answering, doing, giving back, crash, restart, delay, loss, duplicate and split, for
-//! three members (all voters) and two duties: the code itself, on a clock of few ticks.
+//! Model check of the lease protocol: all interleavings of request, response, run, release, crash, restart,
+//! delay, loss, duplication and partition, for three members (all voters) and two duties. It runs the real
+//! code on a clock of few ticks.
 //!
-//! A message that was sent stays in the net: it may arrive at any later time, many times, or never. A split, a pause of
-//! a process and a slow network are orders of these steps like any other. What is bounded is the number of ticks,
-//! questions and restarts, see each test.
+//! A message that was sent stays in the network: it may arrive at any later time, many times, or never. A
+//! partition, a suspended process and a slow network are therefore orders of these steps like any other. The
+//! numbers of ticks, requests and restarts are bounded; see each test.
 
 use onyxrock::interface::Micros;
 use onyxrock_duties::{Duty, DutyKind, Epoch, Holder, LeaseTerms, Member, Message, StoredBound, Voter};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
-/// Span 4: a promise outlives its lease by a tick, so that the model covers clocks that drift by it.
-const WIDE: LeaseTerms = LeaseTerms { duration: Micros(3), min_interval: Micros(2), run_timeout: Micros(1) };
-/// A doing may still be out when the pace alone would allow the next.
-const LONG: LeaseTerms = LeaseTerms { duration: Micros(3), min_interval: Micros(1), run_timeout: Micros(2) };
+/// Promise duration 4: a promise outlives its lease by one tick, so that the model covers clocks that drift
+/// by one tick.
+const WITH_DRIFT: LeaseTerms =
+    LeaseTerms { duration: Micros(3), min_interval: Micros(2), run_timeout: Micros(1) };
+/// A run may still be in progress when the minimum interval alone would permit the next.
+const LONG_RUNS: LeaseTerms =
+    LeaseTerms { duration: Micros(3), min_interval: Micros(1), run_timeout: Micros(2) };
 const NODES: u16 = 3;
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct Node {
     voter: Voter,
     holder: Holder,
-    asks: u8,
-    /// It has passed the check, and what it does under this epoch is still to take effect: it may stand still meanwhile.
-    begun: Option<Epoch>,
+    requests: u8,
+    /// The epoch of a run that has passed the check and whose effect has not happened yet; the node may be
+    /// suspended in between.
+    pending_effect: Option<Epoch>,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 struct State {
     now: u64,
     nodes: Vec<Node>,
-    net: BTreeSet<(u16, u16, Message)>,
+    network: BTreeSet<(u16, u16, Message)>,
     restarts: u8,
     releases: u8,
-    /// Of each duty: when the last doing began, and until when it may be out.
-    last: [Option<(u64, u64)>; 2],
-    done: u8,
+    /// For each duty: when the last run began, and until when it may last.
+    last_run: [Option<(u64, u64)>; 2],
+    runs: u8,
     overlap: bool,
     too_soon: bool,
-    /// What the receiver has seen, with holders that may stand still: the highest epoch, and whether one came after a
-    /// higher one and took effect.
-    seen: Epoch,
-    stale: bool,
+    /// What the receiver of effects has seen, with holders that may be suspended: the highest epoch, and
+    /// whether a lower one took effect after it.
+    highest_seen: Epoch,
+    outdated_effect: bool,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 enum Step {
     Tick,
-    Ask(u16, u64),
+    Request(u16, u64),
     Deliver(u16, u16, Message),
-    Do(u16, u64),
-    /// What was begun reaches its receiver.
+    Run(u16, u64),
+    /// The effect of a run reaches its receiver.
     Effect(u16),
     Release(u16, u64),
     Restart(u16),
 }
 
-struct World {
+struct LeaseModel {
     terms: LeaseTerms,
     ticks: u64,
     duties: u64,
-    /// The first so many ask; all vote.
+    /// The number of members that request leases; all members vote.
     candidates: u16,
-    /// Of the first; the others ask once.
-    asks: u8,
+    /// The number of requests of the first member; the others send one.
+    requests: u8,
     restarts: u8,
     releases: u8,
-    /// A voter that has restarted waits out what it may have promised.
-    waits_out: bool,
-    /// A restarted process is told from its earlier life.
-    new_boot: bool,
-    /// A holder may stand still between its check and the effect.
-    freezes: bool,
+    /// A restarted voter waits until the promises that it may have made have expired.
+    waits_for_promises: bool,
+    /// A restarted process has a boot ID of its own.
+    new_boot_id: bool,
+    /// A holder may be suspended between its check and the effect.
+    may_suspend: bool,
     /// The receiver refuses an epoch lower than one that it has seen.
     fenced: bool,
 }
 
-fn voter(terms: LeaseTerms, now: Micros, memory: StoredBound) -> Voter {
-    let mut v = Voter::new(terms, NODES, now, memory);
-    v.to_keep().into_iter().for_each(|n| v.kept(n));
-    v
+fn new_voter(terms: LeaseTerms, now: Micros, stored_bound: StoredBound) -> Voter {
+    let mut voter = Voter::new(terms, NODES, now, stored_bound);
+    voter.bound_to_persist().into_iter().for_each(|n| voter.mark_bound_persisted(n));
+    voter
 }
 
-/// One that has heard of this epoch: each asks for another, so that a question is not wasted on finding out.
-fn holder(terms: LeaseTerms, boot: u64, heard: Epoch) -> Holder {
-    let mut h = Holder::new(terms, boot, NODES);
-    (0..2).for_each(|d| h.hint(duty(d), heard));
-    h
+/// Creates a holder that knows this epoch: each holder requests a different one, so that no request is spent
+/// on finding out the epoch.
+fn new_holder(terms: LeaseTerms, boot: u64, known: Epoch) -> Holder {
+    let mut holder = Holder::new(terms, boot, NODES);
+    (0..2).for_each(|duty_index| holder.record_epoch(duty(duty_index), known));
+    holder
 }
 
-fn duty(of: u64) -> Duty {
-    Duty { kind: DutyKind::Probe, target: of }
+fn duty(target: u64) -> Duty {
+    Duty { kind: DutyKind::Probe, target }
 }
 
-/// What the voters and the holder are made with at time 1; before it nothing was promised by anybody.
-const START: u64 = 10;
+/// The time at which the model begins. Time 1 and later precede it so that voters can count as started one
+/// promise duration before the model; nothing was promised in that time.
+const START_TICK: u64 = 10;
 
-impl Model for World {
+impl Model for LeaseModel {
     type State = State;
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let node = |n: u16| Node {
-            voter: voter(self.terms, Micros(START - self.terms.promise_duration().0), StoredBound::Known(0)),
-            holder: holder(self.terms, 1, Epoch::from(n)),
-            asks: 0,
-            begun: None,
+        let node = |member: u16| Node {
+            voter: new_voter(
+                self.terms,
+                Micros(START_TICK - self.terms.promise_duration().0),
+                StoredBound::Known(0),
+            ),
+            holder: new_holder(self.terms, 1, Epoch::from(member)),
+            requests: 0,
+            pending_effect: None,
         };
         vec![State {
-            now: START,
+            now: START_TICK,
             nodes: (0..NODES).map(node).collect(),
-            net: BTreeSet::new(),
+            network: BTreeSet::new(),
             restarts: 0,
             releases: 0,
-            last: [None; 2],
-            done: 0,
+            last_run: [None; 2],
+            runs: 0,
             overlap: false,
             too_soon: false,
-            seen: 0,
-            stale: false,
+            highest_seen: 0,
+            outdated_effect: false,
         }]
     }
 
-    fn actions(&self, s: &State, steps: &mut Vec<Step>) {
-        if s.now < START + self.ticks {
+    fn actions(&self, state: &State, steps: &mut Vec<Step>) {
+        if state.now < START_TICK + self.ticks {
             steps.push(Step::Tick);
         }
-        for n in 0..self.candidates {
-            let node = &s.nodes[usize::from(n)];
-            for d in 0..self.duties {
-                if node.asks < if n == 0 { self.asks } else { 1 }
-                    && node.holder.asked(duty(d)).is_none_or(|a| a.0 < s.now)
+        for member in 0..self.candidates {
+            let node = &state.nodes[usize::from(member)];
+            for duty_index in 0..self.duties {
+                if node.requests < if member == 0 { self.requests } else { 1 }
+                    && node.holder.last_requested(duty(duty_index)).is_none_or(|a| a.0 < state.now)
                 {
-                    steps.push(Step::Ask(n, d));
+                    steps.push(Step::Request(member, duty_index));
                 }
-                if node.holder.may_begin(Micros(s.now), duty(d)).is_ok() && node.begun.is_none() {
-                    steps.push(Step::Do(n, d));
+                if node.holder.may_begin(Micros(state.now), duty(duty_index)).is_ok()
+                    && node.pending_effect.is_none()
+                {
+                    steps.push(Step::Run(member, duty_index));
                 }
-                if node.begun.is_some() {
-                    steps.push(Step::Effect(n));
+                if node.pending_effect.is_some() {
+                    steps.push(Step::Effect(member));
                 }
-                if s.releases < self.releases && node.holder.asked(duty(d)).is_some() {
-                    steps.push(Step::Release(n, d));
+                if state.releases < self.releases && node.holder.last_requested(duty(duty_index)).is_some() {
+                    steps.push(Step::Release(member, duty_index));
                 }
             }
         }
-        if s.restarts < self.restarts {
+        if state.restarts < self.restarts {
             steps.extend((0..NODES).map(Step::Restart));
         }
-        steps.extend(s.net.iter().map(|(from, to, m)| Step::Deliver(*from, *to, m.clone())));
+        steps.extend(
+            state.network.iter().map(|(from, to, message)| Step::Deliver(*from, *to, message.clone())),
+        );
     }
 
-    fn next_state(&self, s: &State, step: Step) -> Option<State> {
-        let mut next = s.clone();
-        let now = Micros(s.now);
+    fn next_state(&self, state: &State, step: Step) -> Option<State> {
+        let mut next = state.clone();
+        let now = Micros(state.now);
         match step {
-            // What is over has no effect any more; forgetting it joins states that differ in nothing else.
+            // Expired promises and responses have no effect any more; removing them merges states that differ
+            // in nothing else.
             Step::Tick => {
                 next.now += 1;
                 let now = Micros(next.now);
                 for node in &mut next.nodes {
-                    node.voter.tidy(now);
-                    node.holder.tidy(now);
+                    node.voter.remove_expired(now);
+                    node.holder.remove_expired(now);
                 }
-                let over = |m: &Message| match m {
+                let is_expired = |message: &Message| match message {
                     Message::LeaseResponse { sent, .. } => Micros(*sent).plus(self.terms.duration) <= now,
                     _ => false,
                 };
-                next.net.retain(|(_, _, m)| !over(m));
-                for l in &mut next.last {
-                    // Older than the gap it says nothing more than that something was done.
-                    *l = l.map(|(began, until)| (began.max(next.now - 3), until.max(next.now - 3)));
+                next.network.retain(|(_, _, message)| !is_expired(message));
+                for last_run in &mut next.last_run {
+                    // Beyond the minimum interval, the time of a run says only that there was one.
+                    *last_run =
+                        last_run.map(|(began, until)| (began.max(next.now - 3), until.max(next.now - 3)));
                 }
             }
-            Step::Ask(n, d) => {
-                let node = &mut next.nodes[usize::from(n)];
-                node.asks += 1;
-                let m = node.holder.ask(now, vec![duty(d)])?;
-                Self::send(&mut next, n, &m);
+            Step::Request(member, duty_index) => {
+                let node = &mut next.nodes[usize::from(member)];
+                node.requests += 1;
+                let message = node.holder.request(now, vec![duty(duty_index)])?;
+                Self::send(&mut next, member, &message);
             }
-            Step::Deliver(from, to, m) => {
+            Step::Deliver(from, to, message) => {
                 let node = &mut next.nodes[usize::from(to)];
-                node.holder.receive(now, Member(from), &m);
-                if let Some(answer) = node.voter.receive(now, Member(from), &m) {
-                    next.net.insert((to, from, answer));
+                node.holder.receive(now, Member(from), &message);
+                if let Some(response) = node.voter.receive(now, Member(from), &message) {
+                    next.network.insert((to, from, response));
                 }
             }
-            Step::Do(n, d) => {
-                let node = &mut next.nodes[usize::from(n)];
-                let begun = node.holder.begin(now, duty(d));
-                node.begun = begun.ok().filter(|_| self.freezes);
-                if let Some((began, until)) = s.last[d as usize] {
-                    next.overlap |= s.now < until;
-                    next.too_soon |= s.now < began + self.terms.min_interval.0;
+            Step::Run(member, duty_index) => {
+                let node = &mut next.nodes[usize::from(member)];
+                let epoch = node.holder.begin(now, duty(duty_index));
+                node.pending_effect = epoch.ok().filter(|_| self.may_suspend);
+                if let Some((began, until)) = state.last_run[duty_index as usize] {
+                    next.overlap |= state.now < until;
+                    next.too_soon |= state.now < began + self.terms.min_interval.0;
                 }
-                next.last[d as usize] = Some((s.now, s.now + self.terms.run_timeout.0));
-                next.done = (next.done + 1).min(2);
+                next.last_run[duty_index as usize] = Some((state.now, state.now + self.terms.run_timeout.0));
+                next.runs = (next.runs + 1).min(2);
             }
-            Step::Effect(n) => {
-                let epoch = next.nodes[usize::from(n)].begun.take()?;
-                // Refused, it has no effect: nothing more comes of it.
-                if !self.fenced || epoch >= s.seen {
-                    next.stale |= epoch < s.seen;
-                    next.seen = epoch.max(s.seen);
+            Step::Effect(member) => {
+                let epoch = next.nodes[usize::from(member)].pending_effect.take()?;
+                // A refused epoch has no effect.
+                if !self.fenced || epoch >= state.highest_seen {
+                    next.outdated_effect |= epoch < state.highest_seen;
+                    next.highest_seen = epoch.max(state.highest_seen);
                 }
             }
-            Step::Release(n, d) => {
+            Step::Release(member, duty_index) => {
                 next.releases += 1;
-                let m = next.nodes[usize::from(n)].holder.release(now, &[duty(d)])?;
-                Self::send(&mut next, n, &m);
+                let message = next.nodes[usize::from(member)].holder.release(now, &[duty(duty_index)])?;
+                Self::send(&mut next, member, &message);
             }
-            Step::Restart(n) => {
+            Step::Restart(member) => {
                 next.restarts += 1;
-                let since =
-                    if self.waits_out { now } else { Micros(START - self.terms.promise_duration().0) };
-                let boot = if self.new_boot { 2 + u64::from(s.restarts) } else { 1 };
-                let asks = s.nodes[usize::from(n)].asks;
-                // What it kept is above all that it has promised; its epochs then, too.
-                let old = &s.nodes[usize::from(n)].voter;
-                let voter = voter(self.terms, since, StoredBound::Known(old.bound()));
-                let holder = holder(self.terms, boot, 2 + u64::from(s.restarts));
-                next.nodes[usize::from(n)] = Node { voter, holder, asks, begun: None };
+                let started_at = if self.waits_for_promises {
+                    now
+                } else {
+                    Micros(START_TICK - self.terms.promise_duration().0)
+                };
+                let boot = if self.new_boot_id { 2 + u64::from(state.restarts) } else { 1 };
+                let requests = state.nodes[usize::from(member)].requests;
+                // The stored bound is above all epochs that the voter has promised, so its next epochs are,
+                // too.
+                let old_voter = &state.nodes[usize::from(member)].voter;
+                let voter = new_voter(self.terms, started_at, StoredBound::Known(old_voter.epoch_bound()));
+                let holder = new_holder(self.terms, boot, 2 + u64::from(state.restarts));
+                next.nodes[usize::from(member)] = Node { voter, holder, requests, pending_effect: None };
             }
         }
-        (next != *s).then_some(next)
+        (next != *state).then_some(next)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one holder at most", |_, s| !two_hold(s)),
-            Property::always("no two at once", |_, s: &State| !s.overlap),
-            Property::always("nothing stale takes effect", |_, s: &State| !s.stale),
-            Property::always("the pace", |_, s: &State| !s.too_soon),
-            // The model is not empty: things are done, and by another after the first.
-            Property::sometimes(DONE, |_, s: &State| s.done > 0),
+            Property::always("at most one holder", |_, state| !two_holders(state)),
+            Property::always("no overlapping runs", |_, state: &State| !state.overlap),
+            Property::always("no outdated effect", |_, state: &State| !state.outdated_effect),
+            Property::always("minimum interval between runs", |_, state: &State| !state.too_soon),
+            // Shows that the model is not empty: duties run, and another member runs them after the first.
+            Property::sometimes(A_DUTY_RUNS, |_, state: &State| state.runs > 0),
         ]
     }
 }
 
-fn two_hold(s: &State) -> bool {
-    let holders = |d| s.nodes.iter().filter(|n| n.holder.holds(Micros(s.now), duty(d))).count();
+fn two_holders(state: &State) -> bool {
+    let holders = |duty_index| {
+        state.nodes.iter().filter(|n| n.holder.holds(Micros(state.now), duty(duty_index))).count()
+    };
     (0..2).any(|d| holders(d) > 1)
 }
 
-impl World {
-    fn send(s: &mut State, from: u16, m: &Message) {
-        s.net.extend((0..NODES).filter(|to| *to != from).map(|to| (from, to, m.clone())));
-        // Its own vote needs no wire.
-        let node = &mut s.nodes[usize::from(from)];
-        if let Some(answer) = node.voter.receive(Micros(s.now), Member(from), m) {
-            node.holder.receive(Micros(s.now), Member(from), &answer);
+impl LeaseModel {
+    fn send(state: &mut State, from: u16, message: &Message) {
+        state.network.extend((0..NODES).filter(|to| *to != from).map(|to| (from, to, message.clone())));
+        // The member's own vote needs no network.
+        let node = &mut state.nodes[usize::from(from)];
+        if let Some(response) = node.voter.receive(Micros(state.now), Member(from), message) {
+            node.holder.receive(Micros(state.now), Member(from), &response);
         }
     }
-    /// Looks at every state, and gives the properties that fail.
-    fn broken(self) -> BTreeSet<&'static str> {
-        let checker = self.checker().threads(4).target_state_count(LIMIT).spawn_bfs().join();
-        let found: BTreeSet<_> = checker.discoveries().into_keys().collect();
-        let broken: BTreeSet<_> = found.iter().filter(|p| **p != DONE).copied().collect();
+    /// Explores every state and returns the properties that fail.
+    fn failing_properties(self) -> BTreeSet<&'static str> {
+        let checker = self.checker().threads(4).target_state_count(MAX_STATES).spawn_bfs().join();
+        let discovered: BTreeSet<_> = checker.discoveries().into_keys().collect();
+        let failing: BTreeSet<_> = discovered.iter().filter(|p| **p != A_DUTY_RUNS).copied().collect();
         let states = checker.unique_state_count();
-        println!("{states} states, depth {}, broken: {broken:?}", checker.max_depth());
-        if broken.is_empty() {
-            assert!(checker.state_count() < LIMIT, "{states}: not all states were looked at");
-            assert!(found.contains(DONE), "the model is empty: nothing is done");
+        println!("{states} states, depth {}, failing: {failing:?}", checker.max_depth());
+        if failing.is_empty() {
+            assert!(checker.state_count() < MAX_STATES, "{states}: not all states were explored");
+            assert!(discovered.contains(A_DUTY_RUNS), "the model is empty: no duty runs");
         }
-        broken
+        failing
     }
 }
 
-const DONE: &str = "something is done";
-const LIMIT: usize = 12_000_000;
-const WORLD: World = World {
-    terms: WIDE,
+const A_DUTY_RUNS: &str = "a duty runs";
+const MAX_STATES: usize = 12_000_000;
+const BASE: LeaseModel = LeaseModel {
+    terms: WITH_DRIFT,
     ticks: 7,
     duties: 1,
     candidates: 2,
-    asks: 1,
+    requests: 1,
     restarts: 0,
     releases: 0,
-    waits_out: true,
-    new_boot: true,
-    freezes: false,
+    waits_for_promises: true,
+    new_boot_id: true,
+    may_suspend: false,
     fenced: true,
 };
-const CRASH: World = World { ticks: 3, restarts: 1, ..WORLD };
-const SOUND: [&str; 0] = [];
+const WITH_CRASH: LeaseModel = LeaseModel { ticks: 3, restarts: 1, ..BASE };
+const NO_FAILURES: [&str; 0] = [];
 
 #[test]
-fn two_that_ask_through_every_split_delay_loss_and_duplicate() {
-    assert_eq!(WORLD.broken(), SOUND.into());
+fn two_requesters_are_safe_under_partition_delay_loss_and_duplication() {
+    assert_eq!(BASE.failing_properties(), NO_FAILURES.into());
 }
 
 #[test]
-fn one_that_asks_again_and_gives_back() {
-    assert_eq!(World { ticks: 6, asks: 2, releases: 1, candidates: 1, ..WORLD }.broken(), SOUND.into());
+fn requester_that_renews_and_releases_is_safe() {
+    assert_eq!(
+        LeaseModel { ticks: 6, requests: 2, releases: 1, candidates: 1, ..BASE }.failing_properties(),
+        NO_FAILURES.into()
+    );
 }
 
 #[test]
-fn two_that_ask_while_one_gives_back() {
-    assert_eq!(World { ticks: 2, asks: 2, releases: 1, ..WORLD }.broken(), SOUND.into());
+fn two_requesters_are_safe_while_one_releases() {
+    assert_eq!(
+        LeaseModel { ticks: 2, requests: 2, releases: 1, ..BASE }.failing_properties(),
+        NO_FAILURES.into()
+    );
 }
 
 #[test]
-fn any_of_three_crashes_and_is_back() {
-    assert_eq!(CRASH.broken(), SOUND.into());
-    assert_eq!(World { terms: LONG, ..CRASH }.broken(), SOUND.into());
+fn crash_and_restart_of_any_member_is_safe() {
+    assert_eq!(WITH_CRASH.failing_properties(), NO_FAILURES.into());
+    assert_eq!(LeaseModel { terms: LONG_RUNS, ..WITH_CRASH }.failing_properties(), NO_FAILURES.into());
 }
 
 #[test]
-fn two_duties_at_once() {
-    assert_eq!(World { ticks: 3, duties: 2, asks: 1, ..WORLD }.broken(), SOUND.into());
+fn two_duties_do_not_interfere() {
+    assert_eq!(
+        LeaseModel { ticks: 3, duties: 2, requests: 1, ..BASE }.failing_properties(),
+        NO_FAILURES.into()
+    );
 }
 
-/// The guards, each taken away: what they are there for happens.
+/// Removes each safeguard in turn: the failure that it prevents must then occur.
 #[test]
-fn without_a_guard_the_model_finds_what_breaks() {
-    let forgets = World { waits_out: false, ..CRASH };
-    assert!(forgets.broken().contains("one holder at most"), "a voter that has restarted promises anew");
-    let again = World { terms: LONG, candidates: 1, asks: 2, ticks: 4, ..CRASH };
-    let same = World { new_boot: false, ..again };
+fn removing_a_safeguard_makes_the_model_fail() {
+    let early_voter = LeaseModel { waits_for_promises: false, ..WITH_CRASH };
+    assert!(
+        early_voter.failing_properties().contains("at most one holder"),
+        "a restarted voter makes promises too early"
+    );
+    let restarting = LeaseModel { terms: LONG_RUNS, candidates: 1, requests: 2, ticks: 4, ..WITH_CRASH };
+    let same_boot_id = LeaseModel { new_boot_id: false, ..restarting };
     assert!(
-        same.broken().contains("no two at once"),
-        "a member that has restarted goes on under its old lease"
+        same_boot_id.failing_properties().contains("no overlapping runs"),
+        "a restarted member goes on under its old lease"
     );
-    assert_eq!(again.broken(), SOUND.into());
+    assert_eq!(restarting.failing_properties(), NO_FAILURES.into());
 }
 
-/// A holder that stands still between its last look at the clock and the act: only the receiver can refuse it.
+/// A holder may be suspended between its last check of the clock and the effect; only the receiver can refuse
+/// that effect.
 #[test]
-fn fencing_refuses_what_a_frozen_holder_does_late() {
-    let frozen = World { ticks: 6, freezes: true, ..WORLD };
-    let unfenced = World { fenced: false, ..frozen };
-    assert_eq!(unfenced.broken(), BTreeSet::from(["nothing stale takes effect"]));
-    assert_eq!(frozen.broken(), SOUND.into());
+fn fence_refuses_late_effects_of_a_suspended_holder() {
+    let suspended = LeaseModel { ticks: 6, may_suspend: true, ..BASE };
+    let unfenced = LeaseModel { fenced: false, ..suspended };
+    assert_eq!(unfenced.failing_properties(), BTreeSet::from(["no outdated effect"]));
+    assert_eq!(suspended.failing_properties(), NO_FAILURES.into());
 }
--- a/sharing/src/duty_runner.rs
+++ b/sharing/src/duty_runner.rs
@@ -114,7 +114,7 @@
             fence,
         };
         new.make_last();
-        tracing::debug!(votes = new.book.votes(), "duties: a new life");
+        tracing::debug!(votes = new.book.is_voting(), "duties: a new life");
         new
     }
 
@@ -133,7 +133,7 @@
 
     /// What came from the others under a lease that was over, and was refused.
     pub fn fence_refusals(&self) -> u64 {
-        self.fence.refused()
+        self.fence.refused_count()
     }
 
     /// A lease that is held here fences off the earlier ones, too. False if a later one has been heard of.
@@ -154,7 +154,7 @@
         if self.own(LEAD, epoch) {
             self.leader = Some((self.me, epoch));
         }
-        if sign_of_life && self.book.step(now, LEAD, epoch).is_ok() {
+        if sign_of_life && self.book.may_continue(now, LEAD, epoch).is_ok() {
             let _ = self.out.try_send(ToPeers::Coordinator(epoch));
         }
     }
@@ -275,7 +275,7 @@
         let by = self.probes.values().filter(|p| !p.begun).map(|p| p.by);
         let timed = [self.book.due(), self.book.next_ready(now)].into_iter().flatten();
         self.due = by.chain(timed).fold(self.look_at, Micros::min);
-        let won = self.book.won();
+        let won = self.book.leases_won();
         won - std::mem::replace(&mut self.won, won)
     }
 
@@ -324,14 +324,14 @@
                 "ends_in_ms": ms(o.until.since(now))})
         });
         let wanted = self.book.wanted(now).into_iter().map(|d| {
-            let first = if self.alone { self.me } else { self.book.first(now, d) };
+            let first = if self.alone { self.me } else { self.book.preferred_owner(now, d) };
             json!({"duty": d.kind.name(), "of": d.target, "first": name(first)})
         });
         let terms = self.book.terms();
         let leader = self.leader.filter(|_| self.leads);
         json!({"coordinator": leader.map(|l| name(l.0)), "coordinator_epoch": leader.map(|l| l.1),
-            "fence_refused": self.fence.refused(), "epoch_kept": self.kept, "votes": self.book.votes(), "me": name(self.me), "alone": self.alone, "lease_ms": ms(terms.duration), "gap_ms": ms(terms.min_interval),
-            "owned": owned.collect::<Vec<_>>(), "wanted": wanted.collect::<Vec<_>>(), "won": self.book.won()})
+            "fence_refused": self.fence.refused_count(), "epoch_kept": self.kept, "votes": self.book.is_voting(), "me": name(self.me), "alone": self.alone, "lease_ms": ms(terms.duration), "gap_ms": ms(terms.min_interval),
+            "owned": owned.collect::<Vec<_>>(), "wanted": wanted.collect::<Vec<_>>(), "won": self.book.leases_won()})
     }
 }
 
