--- a/membership/src/incarnation.rs
+++ b/membership/src/incarnation.rs
@@ -1,36 +1,38 @@
-//! One life of a member, as the failure detector tells members apart.
+//! Incarnations of a member, by which the failure detector distinguishes its processes.
 
 use foca::Identity;
 use onyxrock_duties::Member;
 use serde::{Deserialize, Serialize};
 
-/// How far a member leaps that is told it is dead, or an older one than is known: further than clocks are usually off.
-const LEAP: u64 = 60_000_000;
+/// How far the incarnation number advances if other members consider this member dead or know a later
+/// incarnation. One minute is more than clocks are usually off.
+const INCARNATION_STEP_US: u64 = 60_000_000;
 
-/// A member since a start of its process.
+/// A member since one start of its process.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
-pub struct Life {
-    /// Who.
+pub struct Incarnation {
+    /// The member.
     pub member: Member,
-    /// Later lives have greater numbers: microseconds of the wall clock at the start, and leaps.
+    /// A later incarnation has a higher number: the wall clock at the start in microseconds, plus any
+    /// advances.
     pub number: u64,
 }
 
-impl Life {
-    pub(crate) fn next(self) -> Life {
-        Life { number: self.number.saturating_add(LEAP), ..self }
+impl Incarnation {
+    pub(crate) fn successor(self) -> Incarnation {
+        Incarnation { number: self.number.saturating_add(INCARNATION_STEP_US), ..self }
     }
 }
 
-impl Identity for Life {
+impl Identity for Incarnation {
     type Addr = Member;
-    fn renew(&self) -> Option<Life> {
-        Some(self.next())
+    fn renew(&self) -> Option<Incarnation> {
+        Some(self.successor())
     }
     fn addr(&self) -> Member {
         self.member
     }
-    fn win_addr_conflict(&self, other: &Life) -> bool {
+    fn win_addr_conflict(&self, other: &Incarnation) -> bool {
         self.number > other.number
     }
 }
--- a/membership/src/node.rs
+++ b/membership/src/node.rs
@@ -1,7 +1,7 @@
-//! The failure detector over sealed datagrams.
+//! The failure detector, over authenticated datagrams.
 
 use crate::authenticator::{Authenticator, Body, DropReason, Keys};
-use crate::{Life, PAYLOAD_MOST};
+use crate::{Incarnation, MAX_PAYLOAD_BYTES};
 use foca::{Foca, NoCustomBroadcast, Notification, PeriodicParams, PostcardCodec, Runtime, Timer};
 use onyxrock::interface::Micros;
 use onyxrock_duties::Member;
@@ -11,21 +11,25 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// While members of the list are not seen, one of them is greeted this often, and more while nobody is. It brings
-/// members together at a start and heals a split: who is greeted by one it believes dead tells it so, and it lives anew.
-const GREET_ALONE: usize = 2;
-const GREET_EVERY: Micros = Micros(500_000);
-/// Alone for so long although others are heard: they take this for an older life of itself.
-const SHUNNED: Micros = Micros(3_000_000);
+/// Announcements sent at a time while no other member is seen alive; otherwise one is sent.
+const ISOLATED_ANNOUNCEMENTS: usize = 2;
+/// How often a member announces itself to members of the list that it does not see. This brings members
+/// together at a start and heals a partition: a member that is believed dead learns so from the receiver and
+/// starts a new incarnation.
+const ANNOUNCE_INTERVAL: Micros = Micros(500_000);
+/// How long a member may be isolated, although it receives datagrams, before it starts a new incarnation: the
+/// other members then take it for an older incarnation of itself.
+const ISOLATION_TIMEOUT: Micros = Micros(3_000_000);
 
-/// How fast members look after each other.
+/// The timing of the failure detector.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct DetectorTiming {
-    /// Each member probes another one this often.
+    /// How often each member probes another one.
     pub probe_interval: Micros,
-    /// An answer that takes longer is asked for through others. Less than half of the period.
+    /// How long a direct probe may take before the member is probed through others. Less than half of the
+    /// probe interval.
     pub probe_timeout: Micros,
-    /// A member that no probe reaches has so long to contradict.
+    /// How long a member that no probe reaches has to refute the suspicion.
     pub suspicion_timeout: Micros,
 }
 
@@ -39,98 +43,98 @@
     }
 }
 
-/// What a member starts with.
+/// The settings of a member.
 #[derive(Clone, Debug)]
 pub struct MembershipSettings {
     /// This member.
     pub me: Member,
-    /// How many there are.
+    /// The number of members in the list.
     pub member_count: u16,
-    /// To sign and to verify with.
+    /// The keys to sign and to verify with.
     pub keys: Keys,
-    /// How fast.
+    /// The timing of the failure detector.
     pub timing: DetectorTiming,
 }
 
-/// Something for the caller.
+/// An event or an action for the caller.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Output {
     /// Send these bytes to the address of a member.
     Datagram {
-        /// Whose.
+        /// The receiving member.
         to: Member,
-        /// What.
+        /// The datagram.
         bytes: Vec<u8>,
     },
-    /// A member has sent this with [`Membership::send`].
+    /// Another member has sent this payload with [`Membership::send`].
     Payload {
-        /// Who.
+        /// The sending member.
         from: Member,
-        /// What.
+        /// The payload.
         bytes: Vec<u8>,
     },
-    /// It is seen alive now.
+    /// The member is seen alive now.
     Up(Member),
-    /// It is not any more.
+    /// The member is not seen alive any more.
     Down(Member),
 }
 
-/// What was sent and dropped since the start.
+/// Counts of datagrams since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct DatagramCounts {
     /// Datagrams sent, and their bytes.
     pub sent: (u64, u64),
-    /// Datagrams believed, and their bytes.
-    pub believed: (u64, u64),
+    /// Datagrams accepted, and their bytes.
+    pub accepted: (u64, u64),
     /// Datagrams dropped, by reason.
-    pub refused: BTreeMap<DropReason, u64>,
+    pub dropped: BTreeMap<DropReason, u64>,
 }
 
-struct Ground<'a> {
+struct FocaRuntime<'a> {
     now: Micros,
-    seal: &'a mut Authenticator,
-    out: &'a mut VecDeque<Output>,
-    timers: &'a mut BTreeMap<(Micros, u64), Timer<Life>>,
-    serial: &'a mut u64,
-    counts: &'a mut Counts,
+    authenticator: &'a mut Authenticator,
+    outputs: &'a mut VecDeque<Output>,
+    timers: &'a mut BTreeMap<(Micros, u64), Timer<Incarnation>>,
+    timer_sequence: &'a mut u64,
+    counts: &'a mut DatagramCounts,
 }
 
-impl Runtime<Life> for Ground<'_> {
-    fn notify(&mut self, n: Notification<'_, Life>) {
-        match n {
-            Notification::MemberUp(l) => self.out.push_back(Output::Up(l.member)),
-            Notification::MemberDown(l) => self.out.push_back(Output::Down(l.member)),
+impl Runtime<Incarnation> for FocaRuntime<'_> {
+    fn notify(&mut self, notification: Notification<'_, Incarnation>) {
+        match notification {
+            Notification::MemberUp(identity) => self.outputs.push_back(Output::Up(identity.member)),
+            Notification::MemberDown(identity) => self.outputs.push_back(Output::Down(identity.member)),
             _ => {}
         }
     }
-    fn send_to(&mut self, to: Life, data: &[u8]) {
-        if let Some(bytes) = self.seal.sign_datagram(to.member, Body::Swim(data)) {
+    fn send_to(&mut self, to: Incarnation, data: &[u8]) {
+        if let Some(bytes) = self.authenticator.sign_datagram(to.member, Body::Swim(data)) {
             self.counts.sent.0 += 1;
             self.counts.sent.1 += bytes.len() as u64;
-            self.out.push_back(Output::Datagram { to: to.member, bytes });
+            self.outputs.push_back(Output::Datagram { to: to.member, bytes });
         }
     }
-    fn submit_after(&mut self, event: Timer<Life>, after: Duration) {
-        *self.serial += 1;
-        let at = self.now.plus(Micros(after.as_micros() as u64));
-        self.timers.insert((at, *self.serial), event);
+    fn submit_after(&mut self, event: Timer<Incarnation>, after: Duration) {
+        *self.timer_sequence += 1;
+        let due = self.now.plus(Micros(after.as_micros() as u64));
+        self.timers.insert((due, *self.timer_sequence), event);
     }
 }
 
-/// One member's view of all.
+/// One member's view of all members.
 pub struct Membership {
     me: Member,
     members: u16,
-    foca: Foca<Life, PostcardCodec, StdRng, NoCustomBroadcast>,
-    seal: Authenticator,
-    out: VecDeque<Output>,
-    timers: BTreeMap<(Micros, u64), Timer<Life>>,
-    serial: u64,
-    counts: Counts,
-    greet_at: Micros,
-    greeted: u16,
-    /// Since when nobody is seen, and whether a datagram was believed since.
-    alone: Option<(Micros, bool)>,
+    foca: Foca<Incarnation, PostcardCodec, StdRng, NoCustomBroadcast>,
+    authenticator: Authenticator,
+    outputs: VecDeque<Output>,
+    timers: BTreeMap<(Micros, u64), Timer<Incarnation>>,
+    timer_sequence: u64,
+    counts: DatagramCounts,
+    next_announcement: Micros,
+    last_announced: u16,
+    /// Since when no other member is seen alive, and whether a datagram has been accepted since.
+    isolated: Option<(Micros, bool)>,
 }
 
 impl std::fmt::Debug for Membership {
@@ -142,58 +146,61 @@
     }
 }
 
-fn duration(m: Micros) -> Duration {
-    Duration::from_micros(m.0)
+fn duration(micros: Micros) -> Duration {
+    Duration::from_micros(micros.0)
 }
 
-fn config(members: u16, tempo: DetectorTiming) -> foca::Config {
-    let some = |n| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
-    let often = |at, n| Some(PeriodicParams { frequency: duration(at), num_members: some(n) });
-    // What is new is passed on to so many that all have it with a probability that no size changes.
-    let spread = 3 * (u32::from(members).max(2).ilog2() as u8 + 1);
+fn foca_config(members: u16, timing: DetectorTiming) -> foca::Config {
+    let non_zero = |count| NonZeroUsize::new(count).unwrap_or(NonZeroUsize::MIN);
+    let periodic = |interval, count| {
+        Some(PeriodicParams { frequency: duration(interval), num_members: non_zero(count) })
+    };
+    // Each update is sent often enough to reach all members with a probability that does not depend on their
+    // number.
+    let transmissions = 3 * (u32::from(members).max(2).ilog2() as u8 + 1);
     foca::Config {
-        probe_period: duration(tempo.probe_interval),
-        probe_rtt: duration(tempo.probe_timeout),
-        num_indirect_probes: some(3),
-        max_transmissions: NonZeroU8::new(spread).unwrap_or(NonZeroU8::MIN),
-        suspect_to_down_after: duration(tempo.suspicion_timeout),
+        probe_period: duration(timing.probe_interval),
+        probe_rtt: duration(timing.probe_timeout),
+        num_indirect_probes: non_zero(3),
+        max_transmissions: NonZeroU8::new(transmissions).unwrap_or(NonZeroU8::MIN),
+        suspect_to_down_after: duration(timing.suspicion_timeout),
         remove_down_after: Some(Duration::from_secs(20)),
-        max_packet_size: some(PAYLOAD_MOST),
+        max_packet_size: non_zero(MAX_PAYLOAD_BYTES),
         notify_down_members: true,
         periodic_announce: None,
-        // `greet` does it, for those too that were never seen.
+        // `announce_to_missing` does this, also for members that were never seen.
         periodic_announce_to_down_members: None,
-        periodic_gossip: often(tempo.probe_interval, 2),
+        periodic_gossip: periodic(timing.probe_interval, 2),
     }
 }
 
 impl Membership {
-    /// A member that starts now. `life` is the wall clock in microseconds, `entropy` a number from the system's source
-    /// of chance.
+    /// Creates a member that starts now. `incarnation` is the wall clock in microseconds, `entropy` a number
+    /// from the system's random source.
     #[must_use]
-    pub fn new(settings: MembershipSettings, life: u64, entropy: u64, now: Micros) -> Membership {
-        let MembershipSettings { me, member_count: members, keys, timing: tempo } = settings;
-        let seal = Authenticator::new(me, members, keys, entropy);
-        let dice = StdRng::seed_from_u64(entropy ^ 0x9e37_79b9_7f4a_7c15);
-        let identity = Life { member: me, number: life };
+    pub fn new(settings: MembershipSettings, incarnation: u64, entropy: u64, now: Micros) -> Membership {
+        let MembershipSettings { me, member_count: members, keys, timing } = settings;
+        let authenticator = Authenticator::new(me, members, keys, entropy);
+        let rng = StdRng::seed_from_u64(entropy ^ 0x9e37_79b9_7f4a_7c15);
+        let identity = Incarnation { member: me, number: incarnation };
         Membership {
             me,
             members,
-            foca: Foca::new(identity, config(members, tempo), dice, PostcardCodec),
-            seal,
-            out: VecDeque::new(),
+            foca: Foca::new(identity, foca_config(members, timing), rng, PostcardCodec),
+            authenticator,
+            outputs: VecDeque::new(),
             timers: BTreeMap::new(),
-            serial: 0,
-            counts: Counts::default(),
-            greet_at: now,
-            greeted: me.0,
-            alone: Some((now, false)),
+            timer_sequence: 0,
+            counts: DatagramCounts::default(),
+            next_announcement: now,
+            last_announced: me.0,
+            isolated: Some((now, false)),
         }
     }
 
-    /// Other keys from now on.
+    /// Replaces the keys.
     pub fn rekey(&mut self, keys: Keys) {
-        self.seal.rekey(keys);
+        self.authenticator.rekey(keys);
     }
 
     /// This member.
@@ -205,24 +212,24 @@
     /// A number that no other process of any member has.
     #[must_use]
     pub fn boot_id(&self) -> u64 {
-        self.seal.boot()
+        self.authenticator.boot_id()
     }
 
-    /// Who is seen alive, this member included.
+    /// The members that are seen alive, including this one.
     #[must_use]
     pub fn alive(&self) -> BTreeSet<Member> {
         self.foca.iter_members().map(|m| m.id().member).chain([self.me]).collect()
     }
 
-    /// What was sent and dropped.
+    /// Counts of datagrams since the start.
     #[must_use]
-    pub fn counts(&self) -> &Counts {
+    pub fn counts(&self) -> &DatagramCounts {
         &self.counts
     }
 
-    /// The next thing for the caller.
+    /// Returns the next output for the caller.
     pub fn poll(&mut self) -> Option<Output> {
-        self.out.pop_front()
+        self.outputs.pop_front()
     }
 
     /// When [`Membership::tick`] is due.
@@ -230,105 +237,108 @@
     pub fn due(&self) -> Micros {
         let timer = self.timers.first_key_value().map(|(at, _)| at.0);
         let missing = self.foca.num_members() + 1 < usize::from(self.members);
-        timer.into_iter().chain(missing.then_some(self.greet_at)).min().unwrap_or(Micros(u64::MAX))
+        timer.into_iter().chain(missing.then_some(self.next_announcement)).min().unwrap_or(Micros(u64::MAX))
     }
 
-    fn act(
+    fn with_foca(
         &mut self, now: Micros,
-        what: impl FnOnce(
-            &mut Foca<Life, PostcardCodec, StdRng, NoCustomBroadcast>,
-            &mut Ground<'_>,
+        operation: impl FnOnce(
+            &mut Foca<Incarnation, PostcardCodec, StdRng, NoCustomBroadcast>,
+            &mut FocaRuntime<'_>,
         ) -> Result<(), foca::Error>,
     ) -> Result<(), foca::Error> {
-        let Membership { foca, seal, out, timers, serial, counts, .. } = self;
-        let done = what(foca, &mut Ground { now, seal, out, timers, serial, counts });
-        let alone = self.foca.num_members() == 0;
-        self.alone = if alone { Some(self.alone.unwrap_or((now, false))) } else { None };
-        done
+        let Membership { foca, authenticator, outputs, timers, timer_sequence, counts, .. } = self;
+        let result =
+            operation(foca, &mut FocaRuntime { now, authenticator, outputs, timers, timer_sequence, counts });
+        let isolated = self.foca.num_members() == 0;
+        self.isolated = if isolated { Some(self.isolated.unwrap_or((now, false))) } else { None };
+        result
     }
 
-    /// Does what is due.
+    /// Runs the timers that are due.
     pub fn tick(&mut self, now: Micros) {
         while let Some(entry) = self.timers.first_entry().filter(|e| e.key().0 <= now) {
             let timer = entry.remove();
-            // An error here tells of a timer that came late; foca goes on with the next cycle by itself.
-            let _ = self.act(now, |foca, ground| foca.handle_timer(timer, ground));
+            // An error here reports a timer that ran late; foca continues with the next cycle by itself.
+            let _ = self.with_foca(now, |foca, runtime| foca.handle_timer(timer, runtime));
         }
-        if let Some((since, true)) = self.alone
-            && now.since(since) > SHUNNED
+        if let Some((since, true)) = self.isolated
+            && now.since(since) > ISOLATION_TIMEOUT
         {
-            let next = self.foca.identity().next();
-            self.alone = Some((now, false));
-            let _ = self.act(now, |foca, ground| foca.change_identity(next, ground));
+            let successor = self.foca.identity().successor();
+            self.isolated = Some((now, false));
+            let _ = self.with_foca(now, |foca, runtime| foca.change_identity(successor, runtime));
         }
-        if now >= self.greet_at {
-            self.greet_at = now.plus(GREET_EVERY);
-            self.greet(now);
+        if now >= self.next_announcement {
+            self.next_announcement = now.plus(ANNOUNCE_INTERVAL);
+            self.announce_to_missing(now);
         }
     }
 
-    fn greet(&mut self, now: Micros) {
+    fn announce_to_missing(&mut self, now: Micros) {
         let alive = self.alive();
-        let many = if self.alone.is_some() { GREET_ALONE } else { 1 };
-        let after = (1..self.members).map(|i| (self.greeted + i) % self.members);
-        let missing = after.filter(|m| !alive.contains(&Member(*m)) && *m != self.me.0);
-        for m in missing.take(many).collect::<Vec<_>>() {
-            self.greeted = m;
-            let to = Life { member: Member(m), number: 0 };
-            let _ = self.act(now, |foca, ground| foca.announce(to, ground));
+        let count = if self.isolated.is_some() { ISOLATED_ANNOUNCEMENTS } else { 1 };
+        let candidates = (1..self.members).map(|i| (self.last_announced + i) % self.members);
+        let missing = candidates.filter(|m| !alive.contains(&Member(*m)) && *m != self.me.0);
+        for index in missing.take(count).collect::<Vec<_>>() {
+            self.last_announced = index;
+            let to = Incarnation { member: Member(index), number: 0 };
+            let _ = self.with_foca(now, |foca, runtime| foca.announce(to, runtime));
         }
     }
 
-    /// Sends bytes to another member, which may be lost. False if they are too many.
+    /// Sends a payload to another member; it may be lost. Returns false if the payload is too long or the
+    /// member unknown.
     pub fn send(&mut self, to: Member, payload: &[u8]) -> bool {
-        let Some(bytes) = self.seal.sign_datagram(to, Body::Payload(payload)) else { return false };
+        let Some(bytes) = self.authenticator.sign_datagram(to, Body::Payload(payload)) else { return false };
         self.counts.sent.0 += 1;
         self.counts.sent.1 += bytes.len() as u64;
-        self.out.push_back(Output::Datagram { to, bytes });
+        self.outputs.push_back(Output::Datagram { to, bytes });
         true
     }
 
-    /// Takes a datagram, whoever sent it.
+    /// Processes a datagram from any sender.
     ///
     /// # Errors
-    /// [`Refused`]: it was dropped and counted, and cost no state.
+    /// [`DropReason`]: the datagram was dropped and counted; it changed no other state.
     pub fn receive(&mut self, now: Micros, datagram: &[u8]) -> Result<(), DropReason> {
         let mut reply = None;
-        let read = self.seal.verify_datagram(now, datagram, &mut reply);
+        let verified = self.authenticator.verify_datagram(now, datagram, &mut reply);
         if let Some((to, bytes)) = reply {
             self.counts.sent.0 += 1;
             self.counts.sent.1 += bytes.len() as u64;
-            self.out.push_back(Output::Datagram { to, bytes });
+            self.outputs.push_back(Output::Datagram { to, bytes });
         }
-        let taken = match read {
+        let result = match verified {
             Ok((from, Body::Payload(bytes))) => {
-                self.out.push_back(Output::Payload { from, bytes: bytes.to_vec() });
+                self.outputs.push_back(Output::Payload { from, bytes: bytes.to_vec() });
                 Ok(())
             }
             Ok((_, Body::Swim(data))) => {
-                if let Some((_, heard)) = &mut self.alone {
-                    *heard = true;
+                if let Some((_, received)) = &mut self.isolated {
+                    *received = true;
                 }
-                match self.act(now, |foca, ground| foca.handle_data(data, ground)) {
-                    // Signed by a member, and yet no message: another version of it.
+                match self.with_foca(now, |foca, runtime| foca.handle_data(data, runtime)) {
+                    // The datagram is signed by a member but cannot be decoded: the member runs another
+                    // version.
                     Err(foca::Error::Decode(_) | foca::Error::MalformedPacket) => Err(DropReason::Senseless),
                     _ => Ok(()),
                 }
             }
-            Err(why) => Err(why),
+            Err(reason) => Err(reason),
         };
-        match taken {
+        match result {
             Ok(()) => {
-                self.counts.believed.0 += 1;
-                self.counts.believed.1 += datagram.len() as u64;
+                self.counts.accepted.0 += 1;
+                self.counts.accepted.1 += datagram.len() as u64;
             }
-            Err(why) => *self.counts.refused.entry(why).or_default() += 1,
+            Err(reason) => *self.counts.dropped.entry(reason).or_default() += 1,
         }
-        taken
+        result
     }
 
-    /// Tells the others that this member goes.
+    /// Tells the other members that this member leaves.
     pub fn leave(&mut self, now: Micros) {
-        let _ = self.act(now, |foca, ground| foca.leave_cluster(ground));
+        let _ = self.with_foca(now, |foca, runtime| foca.leave_cluster(runtime));
     }
 }
--- a/sharing/src/peers.rs
+++ b/sharing/src/peers.rs
@@ -60,7 +60,7 @@
 impl<M: From<FromPeers>, N: Fn() -> Micros> Peers<M, N> {
     pub async fn run(mut self, inbox: Receiver<ToPeers>) {
         // One byte more than any of ours: what is longer is seen to be.
-        let mut bytes = vec![0; onyxrock_membership::DATAGRAM_MOST + 1];
+        let mut bytes = vec![0; onyxrock_membership::MAX_DATAGRAM_BYTES + 1];
         loop {
             let now = (self.now)();
             self.membership.tick(now);
@@ -182,11 +182,11 @@
         let one = |(i, m): (usize, &Named)| json!({"name": m.name, "address": m.address.to_string(), "alive": alive.contains(&Member(i as u16))});
         let c = self.membership.counts();
         let refused: serde_json::Map<_, _> =
-            c.refused.iter().map(|(why, n)| (format!("{why:?}").to_lowercase(), json!(n))).collect();
+            c.dropped.iter().map(|(why, n)| (format!("{why:?}").to_lowercase(), json!(n))).collect();
         let pair = |p: (u64, u64)| json!({"datagrams": p.0, "bytes": p.1});
         json!({"me": self.name(self.membership.me()),
             "members": self.members.iter().enumerate().map(one).collect::<Vec<_>>(),
-            "sent": pair(c.sent), "lost": self.send_failures, "believed": pair(c.believed), "refused": refused})
+            "sent": pair(c.sent), "lost": self.send_failures, "believed": pair(c.accepted), "refused": refused})
     }
 }
 
