--- a/sharing/src/duty_runner.rs
+++ b/sharing/src/duty_runner.rs
@@ -1,345 +1,385 @@
-//! The module's side of shared duties: which partners are worth a probe, and the probes that may go now.
+//! Runs this instance's part of the shared duties next to the core: determines which destinations need a
+//! probe, and submits the probes that may run now.
 //!
-//! Nothing here decides whose a duty is (`onyxrock-duties`) or whether and where a call goes (the module). A probe is
-//! handed to the module as a message without content; when its call is about to be written the lease is asked for the
-//! last time, by the clock of that moment.
+//! This module decides neither which member holds a duty (`onyxrock-duties`) nor whether and where a call
+//! goes (the core). It submits a probe to the core as a message without content. Immediately before the
+//! probe's call is written, the lease is checked for the last time, against the clock of that moment.
 
 use crate::messages::{FromPeers, ListRole, ListUpdate, ToList, ToPeers};
 use async_channel::Sender;
 use onyxrock::core::Ledger;
 use onyxrock::interface::{ClassId, DestinationId, Micros};
-use onyxrock_config::duties::{DutySettings, NamedMember as Named};
+use onyxrock_config::duties::{DutySettings, NamedMember};
 use onyxrock_duties::{Duty, DutyKind, DutyTable, Epoch, Fence, LeaseTerms, Member, Output, StoredBound};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Probes come at most so often, in parts of the pace: what delays one on its way must not push two into one window.
-const SLACK: f64 = 1.1;
+/// Factor by which the minimum interval between probes exceeds the configured one. Without it, a probe
+/// delayed on its way could bring two probes into one window of the configured rate.
+const INTERVAL_FACTOR: f64 = 1.1;
 
-/// The one duty of asking for the list.
-const LIST: Duty = Duty { kind: DutyKind::List, target: 0 };
-/// The one duty of leading the fleet.
-const LEAD: Duty = Duty { kind: DutyKind::Coordinator, target: 0 };
+/// The single duty of asking discovery for the list.
+const LIST_DUTY: Duty = Duty { kind: DutyKind::List, target: 0 };
+/// The single duty of coordinating the fleet.
+const COORDINATOR_DUTY: Duty = Duty { kind: DutyKind::Coordinator, target: 0 };
 
-/// Makes an epoch last, for [`Memory`] at the next start. False: it could not, and nothing beyond the last is promised.
-pub type Keep = Box<dyn Fn(Epoch) -> bool>;
+/// Persists an epoch bound for the [`StoredBound`] of the next start. Returns false if that failed; the voter
+/// then promises nothing beyond the previous bound.
+pub type PersistBound = Box<dyn Fn(Epoch) -> bool>;
 
-/// A probe that the module has.
+/// A probe that was submitted to the core.
 struct Probe {
     duty: Duty,
-    /// If it has not gone by then, it is called off.
-    by: Micros,
-    begun: bool,
+    /// The probe is cancelled if it has not begun by this time.
+    begin_by: Micros,
+    has_begun: bool,
 }
 
 /// The duties of this instance.
 pub struct DutyRunner {
-    book: DutyTable,
+    table: DutyTable,
     me: Member,
-    members: Vec<Named>,
-    /// Leases are for others to see; alone each instance is its own majority.
+    members: Vec<NamedMember>,
+    /// Whether this instance runs duties without the other members. It is then its own majority.
     alone: bool,
     class: ClassId,
+    /// The path of a probe's request.
     pub probe_path: Rc<str>,
     probes: BTreeMap<u64, Probe>,
-    look_at: Micros,
-    /// Nothing is to be done before: a word from others, or the end of a probe, brings it forward.
+    next_review: Micros,
+    /// Nothing is due before this time. A message from another member, or the end of a probe, brings it
+    /// forward.
     due: Micros,
-    won: u64,
-    out: Sender<ToPeers>,
+    reported_wins: u64,
+    to_peers: Sender<ToPeers>,
     list: Option<ListDuty>,
-    keep: Keep,
-    kept: Epoch,
-    /// One of all leads.
-    leads: bool,
-    /// Who leads, by its own word or here, and under which epoch.
-    leader: Option<(Member, Epoch)>,
+    persist_bound: PersistBound,
+    stored_epoch: Epoch,
+    /// Whether the members elect one of them as coordinator of the fleet.
+    elects_coordinator: bool,
+    /// The coordinator and its epoch, as it announced itself or as won here.
+    coordinator: Option<(Member, Epoch)>,
     fence: Fence,
 }
 
-/// Who asks for the list.
+/// The state of the duty of asking discovery for the list.
 struct ListDuty {
-    to: Sender<ToList>,
+    to_list: Sender<ToList>,
     role: ListRole,
-    /// When the one that asks was last heard.
-    heard: Option<Micros>,
-    /// The version that is held here, while discovery answers.
+    /// When the owner of the duty was last heard from.
+    last_heard: Option<Micros>,
+    /// The generation of the list held here; none while discovery does not answer.
     generation: Option<u64>,
 }
 
 impl DutyRunner {
-    /// `class` is what [`core::probes`](onyxrock::core::probes) gave, `boot` a number that no other process of this
-    /// instance has. `out` is the mailbox of the other instances' actor, `list` that of the list's. `memory` is what
-    /// `keep` made last in an earlier process.
-    #[expect(clippy::too_many_arguments, reason = "each is another part of the program, handed over once")]
+    /// Creates the runner. `class` is the result of
+    /// [`core::add_probe_class`](onyxrock::core::add_probe_class), `boot` a number that no other process of
+    /// this instance has. `to_peers` is the inbox of the [`Peers`](crate::Peers) actor, `to_list` that of the
+    /// list actor. `stored_bound` is what `persist_bound` stored in an earlier process.
+    #[expect(clippy::too_many_arguments, reason = "each is another part of the program, passed once")]
     pub fn new(
-        d: &DutySettings, me: Member, boot: u64, now: Micros, class: ClassId, out: Sender<ToPeers>,
-        list: Sender<ToList>, memory: StoredBound, keep: Keep,
+        settings: &DutySettings, me: Member, boot: u64, now: Micros, class: ClassId,
+        to_peers: Sender<ToPeers>, to_list: Sender<ToList>, stored_bound: StoredBound,
+        persist_bound: PersistBound,
     ) -> DutyRunner {
-        let gap = Micros::from_secs(SLACK / d.probe.per_s);
-        let terms =
-            LeaseTerms { duration: d.lease_duration, min_interval: gap, run_timeout: d.probe.timeout };
-        let alone = d.probe.without_leases;
-        let book = match alone {
-            true => DutyTable::new(Member(0), 1, 1, terms, boot, now, memory),
-            false => {
-                DutyTable::new(me, d.members.len() as u16, d.voter_count as u16, terms, boot, now, memory)
-            }
+        let min_interval = Micros::from_secs(INTERVAL_FACTOR / settings.probe.per_s);
+        let terms = LeaseTerms {
+            duration: settings.lease_duration,
+            min_interval,
+            run_timeout: settings.probe.timeout,
+        };
+        let alone = settings.probe.without_leases;
+        let table = match alone {
+            true => DutyTable::new(Member(0), 1, 1, terms, boot, now, stored_bound),
+            false => DutyTable::new(
+                me,
+                settings.members.len() as u16,
+                settings.voter_count as u16,
+                terms,
+                boot,
+                now,
+                stored_bound,
+            ),
         };
-        let path = d.probe.path.as_str().into();
-        let (members, probes) = (d.members.clone(), BTreeMap::new());
-        let share = d.share_list && !alone;
-        let list =
-            share.then_some(ListDuty { to: list, role: ListRole::Standalone, heard: None, generation: None });
-        let leads = d.elect_coordinator && !alone;
-        let (kept, leader, fence) = (0, None, Fence::default());
-        let mut new = DutyRunner {
-            book,
+        let path = settings.probe.path.as_str().into();
+        let (members, probes) = (settings.members.clone(), BTreeMap::new());
+        let shares_list = settings.share_list && !alone;
+        let list = shares_list.then_some(ListDuty {
+            to_list,
+            role: ListRole::Standalone,
+            last_heard: None,
+            generation: None,
+        });
+        let elects_coordinator = settings.elect_coordinator && !alone;
+        let (stored_epoch, coordinator, fence) = (0, None, Fence::default());
+        let mut runner = DutyRunner {
+            table,
             me,
             members,
             alone,
             class,
             probe_path: path,
             probes,
-            look_at: now,
+            next_review: now,
             due: now,
-            won: 0,
-            out,
+            reported_wins: 0,
+            to_peers,
             list,
-            keep,
-            kept,
-            leads,
-            leader,
+            persist_bound,
+            stored_epoch,
+            elects_coordinator,
+            coordinator,
             fence,
         };
-        new.make_last();
-        tracing::debug!(votes = new.book.is_voting(), "duties: a new life");
-        new
+        runner.persist_pending_bound();
+        tracing::debug!(votes = runner.table.is_voting(), "duties: a new life");
+        runner
     }
 
-    /// What a voter may promise from now on must be known to its next process.
-    fn make_last(&mut self) {
-        if let Some(n) = self.book.bound_to_persist().filter(|n| (self.keep)(*n)) {
-            self.book.mark_bound_persisted(n);
-            self.kept = n;
+    /// Persists what the voter may promise from now on, so that its next process knows it.
+    fn persist_pending_bound(&mut self) {
+        if let Some(n) = self.table.bound_to_persist().filter(|n| (self.persist_bound)(*n)) {
+            self.table.mark_bound_persisted(n);
+            self.stored_epoch = n;
         }
     }
 
-    /// The epoch under which the fleet is led, as far as is known here; zero if by nobody.
+    /// The epoch of the coordinator, as far as this instance knows; zero if there is none.
     pub fn coordinator_epoch(&self) -> Epoch {
-        self.leader.map_or(0, |l| l.1)
+        self.coordinator.map_or(0, |(_, epoch)| epoch)
     }
 
-    /// What came from the others under a lease that was over, and was refused.
+    /// Number of messages from other members that were refused because their lease was outdated.
     pub fn fence_refusals(&self) -> u64 {
         self.fence.refused_count()
     }
 
-    /// A lease that is held here fences off the earlier ones, too. False if a later one has been heard of.
-    fn own(&mut self, duty: Duty, epoch: Epoch) -> bool {
+    /// Makes the fence refuse epochs earlier than that of a lease held here. Returns false if a later epoch
+    /// has been seen.
+    fn fence_earlier_epochs(&mut self, duty: Duty, epoch: Epoch) -> bool {
         self.fence.highest(duty) <= epoch && self.fence.admit(duty, epoch)
     }
 
-    /// What was done under this epoch may take effect here.
+    /// Whether an effect under this epoch may be applied here.
     fn admit(&mut self, duty: Duty, epoch: Epoch) -> bool {
         let admitted = self.fence.admit(duty, epoch);
-        tracing::debug!(told = duty.kind.name(), epoch, admitted, "duties: news under a lease");
+        tracing::debug!(
+            duty = duty.kind.name(),
+            epoch,
+            admitted,
+            "duties: checked the epoch of a message from another member"
+        );
         admitted
     }
 
-    /// Leads, if it holds the lease, and says so.
-    fn settle_lead(&mut self, now: Micros, sign_of_life: bool) {
-        let Some(epoch) = self.book.epoch(now, LEAD).filter(|_| self.leads) else { return };
-        if self.own(LEAD, epoch) {
-            self.leader = Some((self.me, epoch));
+    /// Acts as coordinator if the lease is held here, and announces it to the other members when `announce`
+    /// is set.
+    fn update_coordinator(&mut self, now: Micros, announce: bool) {
+        let Some(epoch) = self.table.epoch(now, COORDINATOR_DUTY).filter(|_| self.elects_coordinator) else {
+            return;
+        };
+        if self.fence_earlier_epochs(COORDINATOR_DUTY, epoch) {
+            self.coordinator = Some((self.me, epoch));
         }
-        if sign_of_life && self.book.may_continue(now, LEAD, epoch).is_ok() {
-            let _ = self.out.try_send(ToPeers::Coordinator(epoch));
+        if announce && self.table.may_continue(now, COORDINATOR_DUTY, epoch).is_ok() {
+            let _ = self.to_peers.try_send(ToPeers::Coordinator(epoch));
         }
     }
 
-    /// What came from the other instances. Notes are the module's.
-    pub fn receive(&mut self, now: Micros, news: FromPeers) {
+    /// Processes a message from the other instances. Endpoint hints are left to the caller.
+    pub fn receive(&mut self, now: Micros, message: FromPeers) {
         self.due = now;
-        match news {
+        match message {
             FromPeers::Alive(_) | FromPeers::Duties { .. } if self.alone => {}
-            FromPeers::Alive(alive) => self.book.set_alive(now, alive),
+            FromPeers::Alive(alive) => self.table.set_alive(now, alive),
             FromPeers::Duties { from, message } => {
-                let out = self.book.receive(now, from, message);
-                self.make_last();
-                self.send(out);
+                let outputs = self.table.receive(now, from, message);
+                self.persist_pending_bound();
+                self.send(outputs);
             }
             FromPeers::EndpointHint { .. } => {}
             FromPeers::Coordinator { from, epoch } => {
-                if self.admit(LEAD, epoch) {
-                    self.leader = Some((from, epoch));
+                if self.admit(COORDINATOR_DUTY, epoch) {
+                    self.coordinator = Some((from, epoch));
                 }
             }
-            // Who asked for it under a lease that was over tells of a list that is over, too.
-            FromPeers::ListUpdate(news) if !self.admit(LIST, news.epoch) => {}
-            FromPeers::ListUpdate(news) => {
-                if let Some(l) = &mut self.list {
-                    l.heard = Some(now);
-                    let _ = l.to.try_send(ToList::Update(news));
+            // A list update sent under an outdated lease reports an outdated list.
+            FromPeers::ListUpdate(update) if !self.admit(LIST_DUTY, update.epoch) => {}
+            FromPeers::ListUpdate(update) => {
+                if let Some(list) = &mut self.list {
+                    list.last_heard = Some(now);
+                    let _ = list.to_list.try_send(ToList::Update(update));
                 }
             }
         }
     }
 
-    /// Discovery told the list, and this is its version; none where it could not be asked. The others must not rely on
-    /// one that has no answer itself.
+    /// Sets the generation of the list that discovery returned; none if discovery did not answer. Other
+    /// members must not rely on an owner that has no answer itself.
     pub fn set_list_generation(&mut self, generation: Option<u64>) {
-        if let Some(l) = &mut self.list {
-            l.generation = generation;
+        if let Some(list) = &mut self.list {
+            list.generation = generation;
         }
     }
 
-    /// Who asks for the list: the one with the lease, and everybody who does not hear from it.
-    fn settle_list(&mut self, now: Micros, sign_of_life: bool) {
-        let (lease, owner) = (self.book.terms().duration, self.book.epoch(now, LIST));
+    /// Determines which role this instance has for the list: owner with the lease, follower while it hears
+    /// from the owner, standalone otherwise.
+    fn update_list_role(&mut self, now: Micros, announce: bool) {
+        let (lease, owner) = (self.table.terms().duration, self.table.epoch(now, LIST_DUTY));
         if let Some(epoch) = owner {
-            self.own(LIST, epoch);
+            self.fence_earlier_epochs(LIST_DUTY, epoch);
         }
-        let Some(l) = &mut self.list else { return };
-        let fresh = l.heard.is_some_and(|t| now.since(t) < lease);
+        let Some(list) = &mut self.list else { return };
+        let owner_heard = list.last_heard.is_some_and(|t| now.since(t) < lease);
         let role = match owner {
             Some(epoch) => ListRole::Owner(epoch),
-            None if fresh => ListRole::Follower,
+            None if owner_heard => ListRole::Follower,
             None => ListRole::Standalone,
         };
-        if role != l.role && l.to.try_send(ToList::Role(role)).is_ok() {
-            l.role = role;
+        if role != list.role && list.to_list.try_send(ToList::Role(role)).is_ok() {
+            list.role = role;
         }
-        if let (Some(epoch), true, Some(generation)) = (owner, sign_of_life, l.generation) {
-            let news = ListUpdate { epoch, previous_generation: generation, generation, body: Vec::new() };
-            let _ = self.out.try_send(ToPeers::ListUpdate(news));
+        if let (Some(epoch), true, Some(generation)) = (owner, announce, list.generation) {
+            let update = ListUpdate { epoch, previous_generation: generation, generation, body: Vec::new() };
+            let _ = self.to_peers.try_send(ToPeers::ListUpdate(update));
         }
     }
 
-    fn send(&self, out: Vec<Output>) {
-        // A full mailbox is a lost datagram like any other.
-        for Output::Send { to, message } in out {
-            let _ = self.out.try_send(ToPeers::Duties { to, message });
+    fn send(&self, outputs: Vec<Output>) {
+        // A full inbox loses a message, as the network may lose a datagram.
+        for Output::Send { to, message } in outputs {
+            let _ = self.to_peers.try_send(ToPeers::Duties { to, message });
         }
     }
 
-    /// Wants, asks, renews, and hands probes that may go to the module. The leases that were won since the last time.
-    /// Costs next to nothing between the times at which something is due.
+    /// Does what is due: wants duties, requests and renews leases, and submits the probes that may run to the
+    /// core. Returns the number of leases won since the last call. Costs next to nothing while nothing is
+    /// due.
     pub fn tick(&mut self, now: Micros, ledger: &mut Ledger) -> u64 {
         if now < self.due {
             return 0;
         }
-        let look = now >= self.look_at;
-        if look {
-            let terms = self.book.terms();
-            self.look_at = now.plus(terms.renew_interval());
-            let probe = |d: DestinationId| Duty { kind: DutyKind::Probe, target: d.0 };
-            let doubted: Vec<_> = ledger.unconfirmed_destinations().map(probe).collect();
-            for duty in self.book.wanted(now).into_iter().filter(|d| d.kind == DutyKind::Probe) {
-                if doubted.binary_search(&duty).is_err() {
-                    self.book.unwant(now, duty);
+        let review_due = now >= self.next_review;
+        if review_due {
+            let terms = self.table.terms();
+            self.next_review = now.plus(terms.renew_interval());
+            let probe_duty =
+                |destination: DestinationId| Duty { kind: DutyKind::Probe, target: destination.0 };
+            let unconfirmed: Vec<_> = ledger.unconfirmed_destinations().map(probe_duty).collect();
+            for duty in self.table.wanted(now).into_iter().filter(|d| d.kind == DutyKind::Probe) {
+                if unconfirmed.binary_search(&duty).is_err() {
+                    self.table.unwant(now, duty);
                 }
             }
-            doubted.into_iter().for_each(|d| self.book.want(d, now.plus(terms.duration)));
+            unconfirmed.into_iter().for_each(|d| self.table.want(d, now.plus(terms.duration)));
             if self.list.is_some() {
-                self.book.want(LIST, now.plus(terms.duration));
+                self.table.want(LIST_DUTY, now.plus(terms.duration));
             }
-            if self.leads {
-                self.book.want(LEAD, now.plus(terms.duration));
+            if self.elects_coordinator {
+                self.table.want(COORDINATOR_DUTY, now.plus(terms.duration));
             }
         }
-        self.settle_list(now, look);
-        self.settle_lead(now, look);
-        let out = self.book.tick(now);
-        self.make_last();
-        self.send(out);
-        // Those that the module would not let go: a told wait, its budget for what may be cold, no slot.
-        let late = |p: &Probe| !p.begun && p.by <= now;
-        let over: Vec<_> = self.probes.iter().filter(|(_, p)| late(p)).map(|(n, _)| *n).collect();
-        for n in over {
-            if let Some(p) = self.probes.remove(&n) {
-                tracing::debug!(of = p.duty.target, "duties: the module did not let a probe go in time");
+        self.update_list_role(now, review_due);
+        self.update_coordinator(now, review_due);
+        let outputs = self.table.tick(now);
+        self.persist_pending_bound();
+        self.send(outputs);
+        // The core may hold a probe back because of a retry-after, the budget for destinations that may be
+        // cold, or a lack of slots.
+        let is_late = |probe: &Probe| !probe.has_begun && probe.begin_by <= now;
+        let late_probes: Vec<_> =
+            self.probes.iter().filter(|(_, probe)| is_late(probe)).map(|(number, _)| *number).collect();
+        for number in late_probes {
+            if let Some(probe) = self.probes.remove(&number) {
+                tracing::debug!(
+                    destination = probe.duty.target,
+                    "duties: cancelled a probe that the core did not send in time"
+                );
             }
-            ledger.cancel_probe(now, n);
+            ledger.cancel_probe(now, number);
         }
-        for duty in self.book.ready(now).into_iter().filter(|d| d.kind == DutyKind::Probe) {
-            if self.probes.values().any(|p| p.duty == duty) {
+        for duty in self.table.ready(now).into_iter().filter(|d| d.kind == DutyKind::Probe) {
+            if self.probes.values().any(|probe| probe.duty == duty) {
                 continue;
             }
-            let patience = self.book.terms().run_timeout;
-            let left = Micros(patience.0 * 2);
-            let n = ledger.submit_probe(now, self.class, DestinationId(duty.target), left);
-            self.probes.insert(n, Probe { duty, by: now.plus(patience), begun: false });
+            let timeout = self.table.terms().run_timeout;
+            let time_to_live = Micros(timeout.0 * 2);
+            let number = ledger.submit_probe(now, self.class, DestinationId(duty.target), time_to_live);
+            self.probes.insert(number, Probe { duty, begin_by: now.plus(timeout), has_begun: false });
         }
-        let by = self.probes.values().filter(|p| !p.begun).map(|p| p.by);
-        let timed = [self.book.due(), self.book.next_ready(now)].into_iter().flatten();
-        self.due = by.chain(timed).fold(self.look_at, Micros::min);
-        let won = self.book.leases_won();
-        won - std::mem::replace(&mut self.won, won)
+        let begin_times = self.probes.values().filter(|probe| !probe.has_begun).map(|probe| probe.begin_by);
+        let table_times = [self.table.due(), self.table.next_ready(now)].into_iter().flatten();
+        self.due = begin_times.chain(table_times).fold(self.next_review, Micros::min);
+        let won = self.table.leases_won();
+        won - std::mem::replace(&mut self.reported_wins, won)
     }
 
-    /// When [`Probing::settle`] is due.
+    /// When [`DutyRunner::tick`] is due.
     pub fn due(&self) -> Micros {
         self.due
     }
 
     /// How long a probe's call may take.
     pub fn probe_timeout(&self) -> Micros {
-        self.book.terms().run_timeout
+        self.table.terms().run_timeout
     }
 
-    /// The call of a probe is about to be written: the epoch that it carries. None: it must not be.
-    pub fn begin_probe(&mut self, now: Micros, n: u64) -> Option<Epoch> {
-        let p = self.probes.get_mut(&n).filter(|p| !p.begun)?;
-        let begins = self.book.begin(now, p.duty);
-        tracing::debug!(of = p.duty.target, "duties: a probe, {begins:?}");
-        p.begun = begins.is_ok();
-        begins.ok()
+    /// Begins a probe whose call is about to be written, and returns the epoch that it carries. `None`: the
+    /// call must not be written.
+    pub fn begin_probe(&mut self, now: Micros, number: u64) -> Option<Epoch> {
+        let probe = self.probes.get_mut(&number).filter(|probe| !probe.has_begun)?;
+        let epoch = self.table.begin(now, probe.duty);
+        tracing::debug!(destination = probe.duty.target, "duties: beginning a probe: {epoch:?}");
+        probe.has_begun = epoch.is_ok();
+        epoch.ok()
     }
 
-    /// The call of a probe has ended, or will not be made.
-    pub fn probe_ended(&mut self, n: u64) {
-        if let Some(p) = self.probes.remove(&n).filter(|p| p.begun) {
-            self.book.end(p.duty);
+    /// Records that a probe's call has ended or will not be made.
+    pub fn probe_ended(&mut self, number: u64) {
+        if let Some(probe) = self.probes.remove(&number).filter(|probe| probe.has_begun) {
+            self.table.end(probe.duty);
             self.due = Micros(0);
         }
     }
 
-    /// Takes no part any more: what is held is given back, so that others need not wait for it to run out.
+    /// Stops taking part in duties and releases all leases, so that other members need not wait for them to
+    /// expire.
     pub fn release_all(&mut self, now: Micros) {
-        for duty in self.book.wanted(now) {
-            self.book.unwant(now, duty);
+        for duty in self.table.wanted(now) {
+            self.table.unwant(now, duty);
         }
-        self.look_at = Micros(u64::MAX);
-        let out = self.book.tick(now);
-        self.send(out);
+        self.next_review = Micros(u64::MAX);
+        let outputs = self.table.tick(now);
+        self.send(outputs);
     }
 
+    /// The state of the duties for operators.
     pub fn status_json(&self, now: Micros) -> Value {
         let ms = |m: Micros| m.0 / 1000;
         let name = |m: Member| self.members.get(usize::from(m.0)).map_or("?", |n| n.name.as_str());
-        let owned = self.book.held_leases(now).into_iter().map(|o| {
-            json!({"duty": o.duty.kind.name(), "of": o.duty.target, "epoch": o.epoch, "held_for_ms": ms(now.since(o.since)),
-                "ends_in_ms": ms(o.until.since(now))})
+        let owned = self.table.held_leases(now).into_iter().map(|lease| {
+            json!({"duty": lease.duty.kind.name(), "of": lease.duty.target, "epoch": lease.epoch, "held_for_ms": ms(now.since(lease.since)),
+                "ends_in_ms": ms(lease.until.since(now))})
         });
-        let wanted = self.book.wanted(now).into_iter().map(|d| {
-            let first = if self.alone { self.me } else { self.book.preferred_owner(now, d) };
-            json!({"duty": d.kind.name(), "of": d.target, "first": name(first)})
+        let wanted = self.table.wanted(now).into_iter().map(|d| {
+            let preferred = if self.alone { self.me } else { self.table.preferred_owner(now, d) };
+            json!({"duty": d.kind.name(), "of": d.target, "first": name(preferred)})
         });
-        let terms = self.book.terms();
-        let leader = self.leader.filter(|_| self.leads);
-        json!({"coordinator": leader.map(|l| name(l.0)), "coordinator_epoch": leader.map(|l| l.1),
-            "fence_refused": self.fence.refused_count(), "epoch_kept": self.kept, "votes": self.book.is_voting(), "me": name(self.me), "alone": self.alone, "lease_ms": ms(terms.duration), "gap_ms": ms(terms.min_interval),
-            "owned": owned.collect::<Vec<_>>(), "wanted": wanted.collect::<Vec<_>>(), "won": self.book.leases_won()})
+        let terms = self.table.terms();
+        let coordinator = self.coordinator.filter(|_| self.elects_coordinator);
+        json!({"coordinator": coordinator.map(|(member, _)| name(member)), "coordinator_epoch": coordinator.map(|(_, epoch)| epoch),
+            "fence_refused": self.fence.refused_count(), "epoch_kept": self.stored_epoch, "votes": self.table.is_voting(), "me": name(self.me), "alone": self.alone, "lease_ms": ms(terms.duration), "gap_ms": ms(terms.min_interval),
+            "owned": owned.collect::<Vec<_>>(), "wanted": wanted.collect::<Vec<_>>(), "won": self.table.leases_won()})
     }
 }
 
-/// This instance's place among the members.
-pub fn member_by_name(d: &DutySettings, name: &str) -> Result<Member, String> {
-    let at = d.members.iter().position(|m| m.name == name);
-    let at = at.and_then(|i| u16::try_from(i).ok()).map(Member);
-    at.ok_or_else(|| format!("[duties]: \"{name}\", this instance, is none of the members"))
+/// The index of this instance, with the given name, among the members.
+pub fn member_by_name(settings: &DutySettings, name: &str) -> Result<Member, String> {
+    let index = settings.members.iter().position(|m| m.name == name);
+    let index = index.and_then(|i| u16::try_from(i).ok()).map(Member);
+    index.ok_or_else(|| format!("[duties]: \"{name}\", this instance, is none of the members"))
 }
 
 #[cfg(test)]
@@ -348,32 +388,32 @@
     use async_channel::{Receiver, bounded};
     use onyxrock::core::{NameIndex, add_probe_class};
     use onyxrock::interface::Settings;
-    use onyxrock_config::duties::ProbeSettings as Pace;
+    use onyxrock_config::duties::ProbeSettings;
     use onyxrock_membership::{Key, Keys};
 
-    struct Rig {
-        probing: DutyRunner,
+    struct TestRunner {
+        runner: DutyRunner,
         ledger: Ledger,
         now: Micros,
         out: Receiver<ToPeers>,
         list: Receiver<ToList>,
     }
 
-    /// One of so many members, which hears from the others only what the test hands it.
-    fn rig(members: u16) -> Rig {
-        rig_after(members, 0)
+    /// One of `members` members, which receives from the others only what the test passes to it.
+    fn test_runner(members: u16) -> TestRunner {
+        test_runner_after(members, 0)
     }
 
-    /// The same, after an earlier life that has promised epochs up to this.
-    fn rig_after(members: u16, kept: Epoch) -> Rig {
-        let named = |i| Named { name: format!("n{i}"), address: ([127, 0, 0, 1], 9).into() };
-        let (patience, path) = (Micros(250_000), "/health".to_owned());
+    /// The same, after an earlier process that has promised epochs up to `stored_epoch`.
+    fn test_runner_after(members: u16, stored_epoch: Epoch) -> TestRunner {
+        let named = |i| NamedMember { name: format!("n{i}"), address: ([127, 0, 0, 1], 9).into() };
+        let (timeout, path) = (Micros(250_000), "/health".to_owned());
         let duties = DutySettings {
             listen: ([127, 0, 0, 1], 0).into(),
             members: (0..members).map(named).collect(),
             voter_count: usize::from(members),
             lease_duration: Micros(1_200_000),
-            probe: Pace { per_s: 2.0, timeout: patience, path, without_leases: false },
+            probe: ProbeSettings { per_s: 2.0, timeout, path, without_leases: false },
             share_list: true,
             elect_coordinator: true,
             keys: Keys::new(1, [Key { id: 1, secret: [1; 32] }]).unwrap(),
@@ -383,72 +423,89 @@
         let ledger = Ledger::new(settings, NameIndex::default(), Default::default(), 1);
         let ((to_peers, out), (to_list, list)) = (bounded(64), bounded(64));
         let now = Micros(1_000_000);
-        let (memory, keep) = (StoredBound::Known(kept), Box::new(|_| true));
-        let probing = DutyRunner::new(&duties, Member(0), 5, now, class, to_peers, to_list, memory, keep);
-        Rig { probing, ledger, now, out, list }
+        let (stored_bound, persist_bound) = (StoredBound::Known(stored_epoch), Box::new(|_| true));
+        let runner = DutyRunner::new(
+            &duties,
+            Member(0),
+            5,
+            now,
+            class,
+            to_peers,
+            to_list,
+            stored_bound,
+            persist_bound,
+        );
+        TestRunner { runner, ledger, now, out, list }
     }
 
-    impl Rig {
-        /// The news of the list that went to the others, and what the list was told.
+    impl TestRunner {
+        /// Runs the instance for a time and returns the generations in its list updates to the other members,
+        /// and its messages to the list actor.
         fn run(&mut self, ms: u64) -> (Vec<u64>, Vec<ToList>) {
             for _ in 0..ms / 50 {
                 self.now = self.now.plus(Micros(50_000));
-                self.probing.tick(self.now, &mut self.ledger);
+                self.runner.tick(self.now, &mut self.ledger);
             }
-            let news = |m| match m {
-                ToPeers::ListUpdate(news) => Some(news.generation),
+            let update = |m| match m {
+                ToPeers::ListUpdate(update) => Some(update.generation),
                 _ => None,
             };
-            let told = std::iter::from_fn(|| self.out.try_recv().ok()).filter_map(news).collect();
-            (told, std::iter::from_fn(|| self.list.try_recv().ok()).collect())
+            let sent = std::iter::from_fn(|| self.out.try_recv().ok()).filter_map(update).collect();
+            (sent, std::iter::from_fn(|| self.list.try_recv().ok()).collect())
         }
     }
 
-    /// One that holds the list's duty and has lost discovery must not keep the others from asking it.
+    /// A member that owns the list duty but has lost discovery must not keep the others from asking
+    /// discovery.
     #[test]
-    fn who_asks_for_the_list_gives_signs_of_life_only_while_it_is_answered() {
-        let mut r = rig(1);
-        assert_eq!(r.run(3000), (vec![], vec![ToList::Role(ListRole::Owner(1))]), "it has no list yet");
-        r.probing.set_list_generation(Some(7));
-        let (told, roles) = r.run(1200);
-        assert!(told.len() >= 3 && told.iter().all(|g| *g == 7) && roles.is_empty(), "{told:?}");
-        r.probing.set_list_generation(None);
-        assert_eq!(r.run(3000), (vec![], vec![]));
+    fn list_owner_sends_heartbeats_only_while_discovery_answers() {
+        let mut test = test_runner(1);
+        assert_eq!(
+            test.run(3000),
+            (vec![], vec![ToList::Role(ListRole::Owner(1))]),
+            "the owner has no list yet"
+        );
+        test.runner.set_list_generation(Some(7));
+        let (sent, roles) = test.run(1200);
+        assert!(sent.len() >= 3 && sent.iter().all(|g| *g == 7) && roles.is_empty(), "{sent:?}");
+        test.runner.set_list_generation(None);
+        assert_eq!(test.run(3000), (vec![], vec![]));
     }
 
     #[test]
-    fn one_that_is_told_the_list_asks_for_itself_once_it_hears_nothing() {
-        let mut r = rig(3);
-        assert_eq!(r.run(2000).1, [], "it asks for itself from the start");
-        let news = ListUpdate { epoch: 4, previous_generation: 7, generation: 8, body: Vec::new() };
-        r.probing.receive(r.now, FromPeers::ListUpdate(news.clone()));
-        assert_eq!(r.run(1000).1, [ToList::Update(news), ToList::Role(ListRole::Follower)]);
-        assert_eq!(r.run(1000).1, [ToList::Role(ListRole::Standalone)]);
+    fn list_follower_asks_discovery_once_the_owner_falls_silent() {
+        let mut test = test_runner(3);
+        assert_eq!(test.run(2000).1, [], "the member starts in the standalone role");
+        let update = ListUpdate { epoch: 4, previous_generation: 7, generation: 8, body: Vec::new() };
+        test.runner.receive(test.now, FromPeers::ListUpdate(update.clone()));
+        assert_eq!(test.run(1000).1, [ToList::Update(update), ToList::Role(ListRole::Follower)]);
+        assert_eq!(test.run(1000).1, [ToList::Role(ListRole::Standalone)]);
     }
 
-    /// A stalled holder's news, or its datagrams, come when the list is another's to ask for.
+    /// Updates from a holder that was suspended, or whose datagrams were delayed, arrive after another member
+    /// has won the list duty.
     #[test]
-    fn news_under_a_lease_that_is_over_is_refused_and_counted() {
-        let mut r = rig(3);
-        let news =
+    fn messages_under_an_outdated_lease_are_refused_and_counted() {
+        let mut test = test_runner(3);
+        let update =
             |epoch, generation| ListUpdate { epoch, previous_generation: 7, generation, body: Vec::new() };
-        r.probing.receive(r.now, FromPeers::ListUpdate(news(4, 8)));
-        r.probing.receive(r.now, FromPeers::ListUpdate(news(3, 5)));
-        r.probing.receive(r.now, FromPeers::Coordinator { from: Member(1), epoch: 9 });
-        r.probing.receive(r.now, FromPeers::Coordinator { from: Member(2), epoch: 8 });
-        let told: Vec<_> = std::iter::from_fn(|| r.list.try_recv().ok()).collect();
-        assert_eq!(told, [ToList::Update(news(4, 8))]);
-        assert_eq!((r.probing.fence_refusals(), r.probing.coordinator_epoch()), (2, 9));
+        test.runner.receive(test.now, FromPeers::ListUpdate(update(4, 8)));
+        test.runner.receive(test.now, FromPeers::ListUpdate(update(3, 5)));
+        test.runner.receive(test.now, FromPeers::Coordinator { from: Member(1), epoch: 9 });
+        test.runner.receive(test.now, FromPeers::Coordinator { from: Member(2), epoch: 8 });
+        let received: Vec<_> = std::iter::from_fn(|| test.list.try_recv().ok()).collect();
+        assert_eq!(received, [ToList::Update(update(4, 8))]);
+        assert_eq!((test.runner.fence_refusals(), test.runner.coordinator_epoch()), (2, 9));
     }
 
-    /// What the leader itself holds counts as heard of: the word of an earlier one changes nothing here.
+    /// A lease held here counts as seen: an announcement of an earlier coordinator changes nothing here.
     #[test]
-    fn one_that_leads_does_not_believe_an_earlier_leader() {
-        let mut r = rig_after(1, 5);
-        r.run(4000);
-        assert_eq!(r.probing.coordinator_epoch(), 6);
-        r.probing.receive(r.now, FromPeers::Coordinator { from: Member(2), epoch: 5 });
-        assert_eq!((r.probing.coordinator_epoch(), r.probing.fence_refusals()), (6, 1));
-        assert_eq!(r.probing.status_json(r.now)["coordinator"], "n0");
+    fn coordinator_ignores_an_earlier_coordinator() {
+        let mut test = test_runner_after(1, 5);
+        test.run(4000);
+        assert_eq!(test.runner.coordinator_epoch(), 6);
+        test.runner.receive(test.now, FromPeers::Coordinator { from: Member(2), epoch: 5 });
+        assert_eq!((test.runner.coordinator_epoch(), test.runner.fence_refusals()), (6, 1));
+        assert_eq!(test.runner.status_json(test.now)["coordinator"], "n0");
     }
 }
--- a/sharing/src/messages.rs
+++ b/sharing/src/messages.rs
@@ -1,4 +1,4 @@
-//! What the actors say to each other.
+//! Messages between the actors.
 
 use async_channel::Sender;
 use onyxrock_duties::{Epoch, Member, Message};
@@ -6,67 +6,75 @@
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// The mailbox of [`Peers`](crate::Peers).
+/// Messages to [`Peers`](crate::Peers).
 #[derive(Debug)]
 pub enum ToPeers {
-    Duties {
-        to: Member,
-        message: Message,
-    },
-    /// What the module tells of an endpoint, by the name that discovery gives it everywhere; for all.
-    EndpointHint {
-        endpoint: String,
-        hint: Vec<u8>,
-    },
-    /// For all.
+    /// A message about duties, for one member.
+    Duties { to: Member, message: Message },
+    /// What the core reports about an endpoint, by the name that discovery gives it everywhere; for all
+    /// members.
+    EndpointHint { endpoint: String, hint: Vec<u8> },
+    /// A change of the list, for all members.
     ListUpdate(ListUpdate),
-    /// For all: this instance leads the fleet, under this epoch.
+    /// Announces to all members that this instance coordinates the fleet under this epoch.
     Coordinator(Epoch),
+    /// Replaces the keys.
     Rekey(Keys),
+    /// Asks for the state of the members as JSON.
     Status(Sender<Value>),
-    /// This instance ends.
+    /// This instance shuts down and leaves the members.
     Leave(Sender<()>),
 }
 
-/// What it has for the program.
+/// Messages from [`Peers`](crate::Peers) to the program.
 #[derive(Debug)]
 pub enum FromPeers {
+    /// The members that are seen alive now.
     Alive(BTreeSet<Member>),
+    /// A message about duties from another member.
     Duties { from: Member, message: Message },
+    /// What the core of another member reports about an endpoint.
     EndpointHint { endpoint: String, hint: Vec<u8> },
+    /// A change of the list, from the member that asks discovery.
     ListUpdate(ListUpdate),
+    /// The sender coordinates the fleet under this epoch.
     Coordinator { from: Member, epoch: Epoch },
 }
 
-/// What the instance that asks for the list tells the others: it went from one version to another.
+/// A change of the list from one generation to another, which the instance that asks discovery sends to the
+/// others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListUpdate {
-    /// Of the lease under which it was asked for.
+    /// The epoch of the lease under which discovery was asked.
     pub epoch: Epoch,
-    /// The version before.
+    /// The generation before the change.
     pub previous_generation: u64,
+    /// The generation after the change.
     pub generation: u64,
-    /// Discovery's answer; empty where that is too long, or where this is only a sign of life.
+    /// The answer of discovery. Empty if it is too long, or if this message is only a heartbeat.
     pub body: Vec<u8>,
 }
 
-/// A longer answer is not passed on: the others ask for themselves.
+/// The maximum length of an answer in a list update. A longer answer is not passed on; the other members ask
+/// discovery themselves.
 pub const MAX_LIST_UPDATE_BYTES: usize = 1200;
 
-/// Who asks discovery for the list.
+/// Which instance asks discovery for the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListRole {
-    /// This instance, for itself.
+    /// This instance asks, for itself only.
     Standalone,
-    /// This instance, under this lease, and it tells the others.
+    /// This instance asks, under the lease with this epoch, and updates the others.
     Owner(Epoch),
-    /// Another, which tells this one.
+    /// Another instance asks, and updates this one.
     Follower,
 }
 
-/// For the actor that has the list.
+/// Messages to the actor that holds the list.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ToList {
+    /// The role of this instance has changed.
     Role(ListRole),
+    /// Another instance reports a change of the list.
     Update(ListUpdate),
 }
--- a/sharing/src/peers.rs
+++ b/sharing/src/peers.rs
@@ -1,11 +1,11 @@
-//! The other instances, over UDP: one actor that has the socket and the membership.
+//! The actor that communicates with the other instances over UDP; it owns the socket and the membership.
 
 use crate::messages::{FromPeers, ListUpdate, ToPeers};
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::future;
 use onyxrock::interface::Micros;
-use onyxrock_config::duties::{DutySettings, NamedMember as Named};
+use onyxrock_config::duties::{DutySettings, NamedMember};
 use onyxrock_duties::{Epoch, Member, Message};
 use onyxrock_membership::{DropReason, Membership, Output};
 use serde::{Deserialize, Serialize};
@@ -13,86 +13,97 @@
 use std::net::UdpSocket;
 use std::time::Duration;
 
-/// A note names an endpoint; longer names are not told.
-const NAME_MOST: usize = 512;
-/// Datagrams that are read before others have a turn.
-const AT_ONCE: usize = 64;
+/// The maximum length of an endpoint's name in a hint. Hints about longer names are not sent.
+const MAX_ENDPOINT_NAME_BYTES: usize = 512;
+/// The maximum number of datagrams read before the actor handles other events.
+const DATAGRAMS_PER_TURN: usize = 64;
 
-/// What instances say to each other.
+/// A message between instances.
 #[derive(Debug, Serialize, Deserialize)]
-enum Word {
+enum PeerMessage {
+    /// A message about duties and their leases.
     Duties(Message),
-    /// What the module tells of an endpoint, by the name that discovery gives it everywhere.
-    Note {
+    /// What the core reports about an endpoint, by the name that discovery gives it everywhere.
+    #[serde(rename = "Note")]
+    EndpointHint {
         endpoint: String,
-        news: Vec<u8>,
+        #[serde(rename = "news")]
+        hint: Vec<u8>,
     },
-    /// The list went from one version to another, as discovery told it; empty where that is too long, or only a sign
-    /// of life.
-    List {
+    /// The list changed from one generation to another, with discovery's answer. The answer is empty if it is
+    /// too long, or if this message is only a heartbeat.
+    #[serde(rename = "List")]
+    ListUpdate {
         epoch: Epoch,
-        from: u64,
+        #[serde(rename = "from")]
+        previous_generation: u64,
         generation: u64,
         body: Vec<u8>,
     },
-    /// The sender leads the fleet.
-    Lead {
-        epoch: Epoch,
-    },
+    /// The sender coordinates the fleet.
+    #[serde(rename = "Lead")]
+    Coordinator { epoch: Epoch },
 }
 
-/// Listens where the settings say.
-pub fn bind_socket(d: &DutySettings) -> Result<Async<UdpSocket>, String> {
-    Async::<UdpSocket>::bind(d.listen).map_err(|e| format!("cannot listen on {} for members: {e}", d.listen))
+/// Binds the socket to the address in the settings.
+pub fn bind_socket(settings: &DutySettings) -> Result<Async<UdpSocket>, String> {
+    Async::<UdpSocket>::bind(settings.listen)
+        .map_err(|e| format!("cannot listen on {} for members: {e}", settings.listen))
 }
 
-/// The actor. `M` is what the program's mailbox holds, `N` tells its time.
+/// The actor. `M` is the message type of the program's inbox, and `N` returns the current time.
 pub struct Peers<M, N> {
+    /// Returns the current time.
     pub now: N,
+    /// The program's inbox.
     pub outbox: Sender<M>,
+    /// The socket for datagrams to and from the other members.
     pub socket: Async<UdpSocket>,
+    /// The failure detector, which also signs and verifies the datagrams.
     pub membership: Membership,
-    pub members: Vec<Named>,
-    /// Datagrams that the socket did not take.
+    /// The names and addresses of all members, in their shared order.
+    pub members: Vec<NamedMember>,
+    /// Datagrams that the socket did not accept.
     pub send_failures: u64,
 }
 
 impl<M: From<FromPeers>, N: Fn() -> Micros> Peers<M, N> {
+    /// Runs until the program's inbox or that of this actor is closed.
     pub async fn run(mut self, inbox: Receiver<ToPeers>) {
-        // One byte more than any of ours: what is longer is seen to be.
+        // The buffer has one byte more than the longest valid datagram, so that a longer one is detected.
         let mut bytes = vec![0; onyxrock_membership::MAX_DATAGRAM_BYTES + 1];
         loop {
             let now = (self.now)();
             self.membership.tick(now);
-            if !self.carry_out().await {
+            if !self.process_outputs().await {
                 return;
             }
             let due = self.membership.due();
-            let letter = async { Some(inbox.recv().await) };
-            let wake = async {
+            let message = async { Some(inbox.recv().await) };
+            let io_or_timer = async {
                 let readable = async { drop(self.socket.readable().await) };
-                let late = async {
+                let timer = async {
                     Timer::after(Duration::from_micros(due.since((self.now)()).0)).await;
                 };
-                future::or(readable, late).await;
+                future::or(readable, timer).await;
                 None
             };
-            match future::or(letter, wake).await {
+            match future::or(message, io_or_timer).await {
                 Some(Ok(ToPeers::Leave(done))) => {
                     self.membership.leave((self.now)());
-                    self.carry_out().await;
+                    self.process_outputs().await;
                     let _ = done.try_send(());
                 }
-                Some(Ok(letter)) => self.take(letter),
+                Some(Ok(message)) => self.handle(message),
                 Some(Err(_)) => return,
                 None => {
-                    for _ in 0..AT_ONCE {
+                    for _ in 0..DATAGRAMS_PER_TURN {
                         let Ok((n, from)) = self.socket.get_ref().recv_from(&mut bytes) else { break };
                         let now = (self.now)();
-                        if let Err(why) = self.membership.receive(now, &bytes[..n])
-                            && !matches!(why, DropReason::Unproven | DropReason::Hello)
+                        if let Err(reason) = self.membership.receive(now, &bytes[..n])
+                            && !matches!(reason, DropReason::Unproven | DropReason::Hello)
                         {
-                            tracing::debug!(peer = %from, "members: a datagram is dropped: {why:?}");
+                            tracing::debug!(peer = %from, "members: dropped a datagram: {reason:?}");
                         }
                     }
                 }
@@ -100,77 +111,77 @@
         }
     }
 
-    fn take(&mut self, letter: ToPeers) {
-        match letter {
-            ToPeers::Duties { to, message } => drop(self.say(to, &Word::Duties(message))),
-            ToPeers::EndpointHint { endpoint, hint: news } if endpoint.len() <= NAME_MOST => {
-                self.say_all(&Word::Note { endpoint, news });
+    fn handle(&mut self, message: ToPeers) {
+        match message {
+            ToPeers::Duties { to, message } => drop(self.send_message(to, &PeerMessage::Duties(message))),
+            ToPeers::EndpointHint { endpoint, hint } if endpoint.len() <= MAX_ENDPOINT_NAME_BYTES => {
+                self.send_to_alive(&PeerMessage::EndpointHint { endpoint, hint });
             }
-            ToPeers::ListUpdate(ListUpdate { epoch, previous_generation: from, generation, body }) => {
-                self.say_all(&Word::List { epoch, from, generation, body });
+            ToPeers::ListUpdate(ListUpdate { epoch, previous_generation, generation, body }) => {
+                self.send_to_alive(&PeerMessage::ListUpdate { epoch, previous_generation, generation, body });
             }
-            ToPeers::Coordinator(epoch) => self.say_all(&Word::Lead { epoch }),
+            ToPeers::Coordinator(epoch) => self.send_to_alive(&PeerMessage::Coordinator { epoch }),
             ToPeers::EndpointHint { .. } | ToPeers::Leave(_) => {}
             ToPeers::Rekey(keys) => self.membership.rekey(keys),
             ToPeers::Status(reply) => drop(reply.try_send(self.json())),
         }
     }
 
-    fn say_all(&mut self, word: &Word) {
+    fn send_to_alive(&mut self, message: &PeerMessage) {
         let me = self.membership.me();
         for to in self.membership.alive().into_iter().filter(|m| *m != me) {
-            self.say(to, word);
+            self.send_message(to, message);
         }
     }
 
-    fn say(&mut self, to: Member, word: &Word) -> bool {
-        postcard::to_allocvec(word).is_ok_and(|bytes| self.membership.send(to, &bytes))
+    fn send_message(&mut self, to: Member, message: &PeerMessage) -> bool {
+        postcard::to_allocvec(message).is_ok_and(|bytes| self.membership.send(to, &bytes))
     }
 
-    /// False once the module is gone.
-    async fn carry_out(&mut self) -> bool {
-        let mut seen = false;
+    /// Carries out the outputs of the membership. Returns false once the receiver of the program's messages
+    /// is gone.
+    async fn process_outputs(&mut self) -> bool {
+        let mut alive_changed = false;
         while let Some(output) = self.membership.poll() {
-            let news = match output {
+            let message = match output {
                 Output::Datagram { to, bytes } => {
                     let Some(m) = self.members.get(usize::from(to.0)) else { continue };
-                    // It is not waited for: a full buffer loses a datagram, as any network may.
+                    // The socket is not waited for: a full buffer loses a datagram, as any network may.
                     if self.socket.get_ref().send_to(&bytes, m.address).is_err() {
                         self.send_failures += 1;
                     }
                     continue;
                 }
                 Output::Payload { from, bytes } => match postcard::from_bytes(&bytes) {
-                    Ok(Word::Duties(message)) => FromPeers::Duties { from, message },
-                    Ok(Word::Note { endpoint, news }) => FromPeers::EndpointHint { endpoint, hint: news },
-                    Ok(Word::List { epoch, from, generation, body }) => FromPeers::ListUpdate(ListUpdate {
-                        epoch,
-                        previous_generation: from,
-                        generation,
-                        body,
-                    }),
-                    Ok(Word::Lead { epoch }) => FromPeers::Coordinator { from, epoch },
+                    Ok(PeerMessage::Duties(message)) => FromPeers::Duties { from, message },
+                    Ok(PeerMessage::EndpointHint { endpoint, hint }) => {
+                        FromPeers::EndpointHint { endpoint, hint }
+                    }
+                    Ok(PeerMessage::ListUpdate { epoch, previous_generation, generation, body }) => {
+                        FromPeers::ListUpdate(ListUpdate { epoch, previous_generation, generation, body })
+                    }
+                    Ok(PeerMessage::Coordinator { epoch }) => FromPeers::Coordinator { from, epoch },
                     Err(e) => {
-                        tracing::warn!(member = %self.name(from), "members: a message that cannot be read: {e}");
+                        tracing::warn!(member = %self.name(from), "members: dropped a message that cannot be decoded: {e}");
                         continue;
                     }
                 },
                 Output::Up(m) => {
                     tracing::info!(member = %self.name(m), "members: up");
-                    seen = true;
+                    alive_changed = true;
                     continue;
                 }
                 Output::Down(m) => {
                     tracing::warn!(member = %self.name(m), "members: down");
-                    seen = true;
+                    alive_changed = true;
                     continue;
                 }
             };
-            if self.outbox.send(news.into()).await.is_err() {
+            if self.outbox.send(message.into()).await.is_err() {
                 return false;
             }
         }
-        !seen || self.outbox.send(FromPeers::Alive(self.membership.alive()).into()).await.is_ok()
+        !alive_changed || self.outbox.send(FromPeers::Alive(self.membership.alive()).into()).await.is_ok()
     }
 
     fn name(&self, m: Member) -> &str {
@@ -179,18 +190,22 @@
 
     fn json(&self) -> Value {
         let alive = self.membership.alive();
-        let one = |(i, m): (usize, &Named)| json!({"name": m.name, "address": m.address.to_string(), "alive": alive.contains(&Member(i as u16))});
-        let c = self.membership.counts();
-        let refused: serde_json::Map<_, _> =
-            c.dropped.iter().map(|(why, n)| (format!("{why:?}").to_lowercase(), json!(n))).collect();
-        let pair = |p: (u64, u64)| json!({"datagrams": p.0, "bytes": p.1});
+        let member_json = |(i, m): (usize, &NamedMember)| json!({"name": m.name, "address": m.address.to_string(), "alive": alive.contains(&Member(i as u16))});
+        let counts = self.membership.counts();
+        let dropped: serde_json::Map<_, _> = counts
+            .dropped
+            .iter()
+            .map(|(reason, count)| (format!("{reason:?}").to_lowercase(), json!(count)))
+            .collect();
+        let pair = |(datagrams, bytes): (u64, u64)| json!({"datagrams": datagrams, "bytes": bytes});
         json!({"me": self.name(self.membership.me()),
-            "members": self.members.iter().enumerate().map(one).collect::<Vec<_>>(),
-            "sent": pair(c.sent), "lost": self.send_failures, "believed": pair(c.accepted), "refused": refused})
+            "members": self.members.iter().enumerate().map(member_json).collect::<Vec<_>>(),
+            "sent": pair(counts.sent), "lost": self.send_failures, "believed": pair(counts.accepted), "refused": dropped})
     }
 }
 
-/// Times of the failure detector, for leases of this length: a death is seen before the lease of the dead runs out.
+/// The timing of the failure detector for leases of this duration: a death is detected before the leases of
+/// the dead member expire.
 pub fn detector_timing(lease: Micros) -> onyxrock_membership::DetectorTiming {
     let period = Micros((lease.0 / 6).clamp(100_000, 1_000_000));
     onyxrock_membership::DetectorTiming {
