--- a/duties/src/duty_table.rs
+++ b/duties/src/duty_table.rs
@@ -63,7 +63,7 @@
     terms: LeaseTerms,
     holder: Holder,
     voter: Option<Voter>,
-    /// The members that are seen alive, each with the time since which it is.
+    /// The members that are seen alive, each with the time since which this has been so.
     alive: BTreeMap<Member, Micros>,
     wanted: BTreeMap<Duty, WantedDuty>,
     next_round: Micros,
--- a/duties/src/voter.rs
+++ b/duties/src/voter.rs
@@ -37,7 +37,8 @@
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct Voter {
     terms: LeaseTerms,
-    /// No promises before this time: an earlier process may have promised the duty to another member.
+    /// The voter promises nothing before this time: an earlier process may have promised the duty to another
+    /// member.
     silent_until: Micros,
     promises: BTreeMap<Duty, Promise>,
     /// Every duty may have had any epoch up to this one.
@@ -62,12 +63,12 @@
 impl Voter {
     /// Creates one of `voters` voters, in a process that starts now.
     #[must_use]
-    pub fn new(terms: LeaseTerms, voters: u16, now: Micros, memory: StoredBound) -> Voter {
+    pub fn new(terms: LeaseTerms, voters: u16, now: Micros, stored_bound: StoredBound) -> Voter {
         let quorum = voters / 2 + 1;
         // A majority knew each epoch. This voter aside, up to `voters - quorum` others may not know it, so
         // that at least one of the voters that report must know it.
         let reports_needed = usize::from((voters - quorum + 1).min(voters - 1));
-        let (epoch_floor, recovery) = match memory {
+        let (epoch_floor, recovery) = match stored_bound {
             StoredBound::Known(epoch_floor) => (epoch_floor, None),
             StoredBound::Lost => {
                 (0, (reports_needed > 0).then(|| Recovery { reports_needed, bounds: BTreeMap::new() }))
@@ -232,8 +233,8 @@
         }
     }
 
-    fn new_voter(memory: StoredBound) -> Voter {
-        let mut voter = Voter::new(TERMS, 3, Micros(0), memory);
+    fn new_voter(stored_bound: StoredBound) -> Voter {
+        let mut voter = Voter::new(TERMS, 3, Micros(0), stored_bound);
         voter.bound_to_persist().into_iter().for_each(|n| voter.mark_bound_persisted(n));
         voter
     }
--- a/membership/src/authenticator.rs
+++ b/membership/src/authenticator.rs
@@ -115,22 +115,22 @@
 #[derive(Clone, Debug, Default)]
 struct ReplayWindow {
     highest: u64,
-    seen: u128,
+    received: u128,
 }
 
 impl ReplayWindow {
     fn accept(&mut self, number: u64) -> bool {
         if number > self.highest {
             let shift = number - self.highest;
-            self.seen = if shift < 128 { self.seen << shift } else { 0 } | 1;
+            self.received = if shift < 128 { self.received << shift } else { 0 } | 1;
             self.highest = number;
             return true;
         }
         let age = self.highest - number;
-        if age >= 128 || self.seen >> age & 1 == 1 {
+        if age >= 128 || self.received >> age & 1 == 1 {
             return false;
         }
-        self.seen |= 1 << age;
+        self.received |= 1 << age;
         true
     }
 }
--- a/sharing/src/duty_runner.rs
+++ b/sharing/src/duty_runner.rs
@@ -41,8 +41,8 @@
     table: DutyTable,
     me: Member,
     members: Vec<NamedMember>,
-    /// Whether this instance runs duties without the other members. It is then its own majority.
-    alone: bool,
+    /// Whether this instance runs duties without leases of the other members: it is then its own majority.
+    without_leases: bool,
     class: ClassId,
     /// The path of a probe's request.
     pub probe_path: Rc<str>,
@@ -90,8 +90,8 @@
             min_interval,
             run_timeout: settings.probe.timeout,
         };
-        let alone = settings.probe.without_leases;
-        let table = match alone {
+        let without_leases = settings.probe.without_leases;
+        let table = match without_leases {
             true => DutyTable::new(Member(0), 1, 1, terms, boot, now, stored_bound),
             false => DutyTable::new(
                 me,
@@ -105,20 +105,20 @@
         };
         let path = settings.probe.path.as_str().into();
         let (members, probes) = (settings.members.clone(), BTreeMap::new());
-        let shares_list = settings.share_list && !alone;
+        let shares_list = settings.share_list && !without_leases;
         let list = shares_list.then_some(ListDuty {
             to_list,
             role: ListRole::Standalone,
             last_heard: None,
             generation: None,
         });
-        let elects_coordinator = settings.elect_coordinator && !alone;
+        let elects_coordinator = settings.elect_coordinator && !without_leases;
         let (stored_epoch, coordinator, fence) = (0, None, Fence::default());
         let mut runner = DutyRunner {
             table,
             me,
             members,
-            alone,
+            without_leases,
             class,
             probe_path: path,
             probes,
@@ -148,7 +148,7 @@
 
     /// The epoch of the coordinator, as far as this instance knows; zero if there is none.
     pub fn coordinator_epoch(&self) -> Epoch {
-        self.coordinator.map_or(0, |(_, epoch)| epoch)
+        self.coordinator.map_or(0, |coordinator| coordinator.1)
     }
 
     /// Number of messages from other members that were refused because their lease was outdated.
@@ -192,7 +192,7 @@
     pub fn receive(&mut self, now: Micros, message: FromPeers) {
         self.due = now;
         match message {
-            FromPeers::Alive(_) | FromPeers::Duties { .. } if self.alone => {}
+            FromPeers::Alive(_) | FromPeers::Duties { .. } if self.without_leases => {}
             FromPeers::Alive(alive) => self.table.set_alive(now, alive),
             FromPeers::Duties { from, message } => {
                 let outputs = self.table.receive(now, from, message);
@@ -364,13 +364,13 @@
                 "ends_in_ms": ms(lease.until.since(now))})
         });
         let wanted = self.table.wanted(now).into_iter().map(|d| {
-            let preferred = if self.alone { self.me } else { self.table.preferred_owner(now, d) };
+            let preferred = if self.without_leases { self.me } else { self.table.preferred_owner(now, d) };
             json!({"duty": d.kind.name(), "of": d.target, "first": name(preferred)})
         });
         let terms = self.table.terms();
         let coordinator = self.coordinator.filter(|_| self.elects_coordinator);
-        json!({"coordinator": coordinator.map(|(member, _)| name(member)), "coordinator_epoch": coordinator.map(|(_, epoch)| epoch),
-            "fence_refused": self.fence.refused_count(), "epoch_kept": self.stored_epoch, "votes": self.table.is_voting(), "me": name(self.me), "alone": self.alone, "lease_ms": ms(terms.duration), "gap_ms": ms(terms.min_interval),
+        json!({"coordinator": coordinator.map(|c| name(c.0)), "coordinator_epoch": coordinator.map(|c| c.1),
+            "fence_refused": self.fence.refused_count(), "epoch_kept": self.stored_epoch, "votes": self.table.is_voting(), "me": name(self.me), "alone": self.without_leases, "lease_ms": ms(terms.duration), "gap_ms": ms(terms.min_interval),
             "owned": owned.collect::<Vec<_>>(), "wanted": wanted.collect::<Vec<_>>(), "won": self.table.leases_won()})
     }
 }
--- a/sharing/src/peers.rs
+++ b/sharing/src/peers.rs
@@ -197,7 +197,7 @@
             .iter()
             .map(|(reason, count)| (format!("{reason:?}").to_lowercase(), json!(count)))
             .collect();
-        let pair = |(datagrams, bytes): (u64, u64)| json!({"datagrams": datagrams, "bytes": bytes});
+        let pair = |count: (u64, u64)| json!({"datagrams": count.0, "bytes": count.1});
         json!({"me": self.name(self.membership.me()),
             "members": self.members.iter().enumerate().map(member_json).collect::<Vec<_>>(),
             "sent": pair(counts.sent), "lost": self.send_failures, "believed": pair(counts.accepted), "refused": dropped})
