--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -326,12 +326,8 @@
         let listener = Async::<TcpListener>::bind(address)
             .map_err(|e| format!("cannot listen on {address} for SMPP: {e}"))?;
         let address = listener.get_ref().local_addr().map_err(|e| e.to_string())?;
-        let frontend = Rc::new(smpp::inbound::Frontend {
-            shared: shared.clone(),
-            smpp,
-            give_up_after,
-            receipts,
-        });
+        let frontend =
+            Rc::new(smpp::inbound::Frontend { shared: shared.clone(), smpp, give_up_after, receipts });
         executor.spawn(smpp::inbound::listen(frontend, listener, accepting_ended)).detach();
         tracing::info!("listens on {address} for SMPP");
     }
--- a/sharing/src/duty_runner.rs
+++ b/sharing/src/duty_runner.rs
@@ -166,7 +166,7 @@
     fn admit(&mut self, duty: Duty, epoch: Epoch) -> bool {
         let admitted = self.fence.admit(duty, epoch);
         tracing::debug!(
-            duty = duty.kind.name(),
+            told = duty.kind.name(),
             epoch,
             admitted,
             "duties: checked the epoch of a message from another member"
@@ -294,7 +294,7 @@
         for number in late_probes {
             if let Some(probe) = self.probes.remove(&number) {
                 tracing::debug!(
-                    destination = probe.duty.target,
+                    of = probe.duty.target,
                     "duties: cancelled a probe that the core did not send in time"
                 );
             }
@@ -331,7 +331,7 @@
     pub fn begin_probe(&mut self, now: Micros, number: u64) -> Option<Epoch> {
         let probe = self.probes.get_mut(&number).filter(|probe| !probe.has_begun)?;
         let epoch = self.table.begin(now, probe.duty);
-        tracing::debug!(destination = probe.duty.target, "duties: beginning a probe: {epoch:?}");
+        tracing::debug!(of = probe.duty.target, "duties: beginning a probe: {epoch:?}");
         probe.has_begun = epoch.is_ok();
         epoch.ok()
     }
