--- a/config/tests/settings.rs
+++ b/config/tests/settings.rs
@@ -7,7 +7,7 @@
 
 /// Rough rates in the list, nothing in answers, one attempt at a time, repeats dropped by one zone: as the daemon's tests.
 fn listed() -> Value {
-    serde_json::from_str(include_str!("../../daemon/tests/stage/settings.json")).unwrap()
+    serde_json::from_str(include_str!("../../daemon/tests/harness/settings.json")).unwrap()
 }
 
 /// Limits in answers, none in the list, second copies, repeats dropped everywhere.
--- a/daemon/tests/command_line.rs
+++ b/daemon/tests/command_line.rs
@@ -68,7 +68,7 @@
 #[test]
 fn the_files_of_the_deployment_are_sound() {
     let deploy = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/");
-    let settings = include_str!("stage/settings.json");
+    let settings = include_str!("harness/settings.json");
     let config =
         format!(r#"{{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{settings}}}"#);
     let product = format!("{deploy}product.toml");
--- a/daemon/tests/crowded_discovery.rs
+++ b/daemon/tests/crowded_discovery.rs
@@ -2,9 +2,9 @@
 //! counts as known 6 s later all the same, and nothing may go to a server that drains from 1 s after that.
 
 #[allow(dead_code)] // the scenarios use the rest
-mod stage;
+mod harness;
 
-use stage::Stage;
+use harness::Harness;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread;
@@ -21,20 +21,20 @@
 const MOVE_EVERY: Duration = Duration::from_millis(400);
 const SEND_EVERY: Duration = Duration::from_millis(50);
 
-fn play(stage: &mut Stage, line: &str) {
+fn run_step(harness: &mut Harness, line: &str) {
     let words: Vec<&str> = line.split(' ').collect();
-    stage.play(&words).unwrap_or_else(|e| panic!("{line}: {e}\n{}", stage.log()));
+    harness.run_step(&words).unwrap_or_else(|e| panic!("{line}: {e}\n{}", harness.log()));
 }
 
 /// Hands messages in until it is told to stop.
-fn traffic(stage: &Stage, over: Arc<AtomicBool>) -> thread::JoinHandle<()> {
-    let client = stage.client();
+fn traffic(harness: &Harness, over: Arc<AtomicBool>) -> thread::JoinHandle<()> {
+    let client = harness.http_client();
     thread::spawn(move || {
         for n in 0.. {
             if over.load(Ordering::Relaxed) {
                 return;
             }
-            client.hand_in(&format!("m{n}"));
+            client.submit(&format!("m{n}"));
             thread::sleep(SEND_EVERY);
         }
     })
@@ -42,29 +42,29 @@
 
 #[test]
 fn a_drain_is_known_in_time_though_discovery_moves_and_refuses_calls() {
-    let mut stage = Stage::default();
+    let mut harness = Harness::default();
     let arrivals = Arc::new(Mutex::new(Vec::new()));
-    stage.ready_server("drains", "1", arrivals.clone());
-    stage.ready_server("stays", "1", Arc::default());
+    harness.add_accepting_endpoint("drains", "1", arrivals.clone());
+    harness.add_accepting_endpoint("stays", "1", Arc::default());
     // A handful of forwarders share discovery.
-    play(&mut stage, "given setting replicasOfMe=6");
-    play(&mut stage, "send daemon start");
-    play(&mut stage, "expect counter list_answers=1");
+    run_step(&mut harness, "given setting replicasOfMe=6");
+    run_step(&mut harness, "send daemon start");
+    run_step(&mut harness, "expect counter list_answers=1");
     let over = Arc::new(AtomicBool::new(false));
-    let traffic = traffic(&stage, over.clone());
+    let traffic = traffic(&harness, over.clone());
 
-    stage.refuse_list_calls(u32::MAX);
+    harness.refuse_list_requests(u32::MAX);
     for _ in 0..MOVES {
-        play(&mut stage, "send platform move");
-        play(&mut stage, "send daemon HUP");
+        run_step(&mut harness, "send platform move");
+        run_step(&mut harness, "send daemon HUP");
         thread::sleep(MOVE_EVERY);
     }
-    play(&mut stage, &format!("expect counter list_moves={MOVES}"));
-    play(&mut stage, "send list drains Terminating");
-    stage.refuse_list_calls(REFUSED);
+    run_step(&mut harness, &format!("expect counter list_moves={MOVES}"));
+    run_step(&mut harness, "send list drains Terminating");
+    harness.refuse_list_requests(REFUSED);
     let drained = Instant::now();
     let ends = drained + KNOWN_WITHIN + GRACE;
-    while !stage.list_was_told() && Instant::now() < ends {
+    while !harness.current_list_was_served() && Instant::now() < ends {
         thread::sleep(SEND_EVERY);
     }
     let known = Instant::now();
@@ -74,7 +74,7 @@
     traffic.join().unwrap();
 
     let last = arrivals.lock().unwrap().last().copied().expect("the server gets calls");
-    let log = stage.log();
+    let log = harness.log();
     assert!(known < ends, "the drain is not known {:?} after discovery had it\n{log}", known - drained);
     assert!(last <= ends, "a request went there {:?} after the grace period\n{log}", last - ends);
     assert!(last <= known + GRACE, "a request went there {:?} after the drain was known", last - known);
--- a/daemon/tests/operators.rs
+++ b/daemon/tests/operators.rs
@@ -2,9 +2,9 @@
 //! that is out, from this process, a second one beside it, or the next one after a kill.
 
 #[allow(dead_code)] // the scenarios use the rest
-mod stage;
+mod harness;
 
-use stage::Stage;
+use harness::Harness;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread;
@@ -21,7 +21,7 @@
 type Arrivals = Arc<Mutex<Vec<Instant>>>;
 
 struct Forwarder {
-    stage: Stage,
+    harness: Harness,
     /// Where the calls of the endpoints `e1` and `e2` are noted.
     arrivals: Arrivals,
     others: Arrivals,
@@ -31,23 +31,23 @@
 
 impl Forwarder {
     fn start() -> Forwarder {
-        let (mut stage, arrivals, others) = (Stage::default(), Arrivals::default(), Arrivals::default());
+        let (mut harness, arrivals, others) = (Harness::default(), Arrivals::default(), Arrivals::default());
         // Each is the only one that its messages may go to: nothing else takes the calls that one may not get.
-        stage.ready_server("e1", "1", arrivals.clone());
-        stage.ready_server("e2", "2", others.clone());
+        harness.add_accepting_endpoint("e1", "1", arrivals.clone());
+        harness.add_accepting_endpoint("e2", "2", others.clone());
         let (over, handed_in) = Default::default();
-        let mut forwarder = Forwarder { stage, arrivals, others, handed_in, over };
+        let mut forwarder = Forwarder { harness, arrivals, others, handed_in, over };
         // A failure is traced by what became of each attempt.
-        forwarder.play(&["given section log level=\"debug\" lines_per_s=100000"]);
-        forwarder.play(&["given operators", "send daemon start", "expect counter list_answers=1"]);
+        forwarder.run_steps(&["given section log level=\"debug\" lines_per_s=100000"]);
+        forwarder.run_steps(&["given operators", "send daemon start", "expect counter list_answers=1"]);
         forwarder.traffic();
         forwarder
     }
 
-    fn play(&mut self, lines: &[&str]) {
+    fn run_steps(&mut self, lines: &[&str]) {
         for line in lines {
             let words: Vec<&str> = line.split(' ').collect();
-            self.stage.play(&words).unwrap_or_else(|e| panic!("{line}: {e}\n{}", self.stage.log()));
+            self.harness.run_step(&words).unwrap_or_else(|e| panic!("{line}: {e}\n{}", self.harness.log()));
         }
     }
 
@@ -55,12 +55,13 @@
     fn traffic(&mut self) {
         self.over.store(true, Ordering::Relaxed);
         self.over = Arc::default();
-        let (client, over, handed_in) = (self.stage.client(), self.over.clone(), self.handed_in.clone());
+        let (client, over, handed_in) =
+            (self.harness.http_client(), self.over.clone(), self.handed_in.clone());
         thread::spawn(move || {
             let begin = Instant::now();
             while !over.load(Ordering::Relaxed) {
                 for destination in ["1", "2"] {
-                    client.try_hand_in(&format!("m{}", begin.elapsed().as_nanos()), destination);
+                    client.try_submit(&format!("m{}", begin.elapsed().as_nanos()), destination);
                     handed_in.fetch_add(1, Ordering::Relaxed);
                 }
                 thread::sleep(SEND_EVERY);
@@ -72,7 +73,7 @@
     fn seen(&self) -> String {
         let (e1, e2) = (self.arrivals.lock().unwrap().len(), self.others.lock().unwrap().len());
         let handed_in = self.handed_in.load(Ordering::Relaxed);
-        format!("{handed_in} handed in, {e1} calls of e1, {e2} of e2\n{}", self.stage.log())
+        format!("{handed_in} handed in, {e1} calls of e1, {e2} of e2\n{}", self.harness.log())
     }
 
     fn calls_after(&self, from: Instant) -> usize {
@@ -86,7 +87,7 @@
     /// Puts the endpoint back. Its trial call may come before the answer to the operator is read.
     fn put_back(&mut self, who: &str, why: &str) {
         let from = Instant::now();
-        self.play(&[&format!("send {who} maint-off e1"), "expect operator 200"]);
+        self.run_steps(&[&format!("send {who} maint-off e1"), "expect operator 200"]);
         self.gets_calls_after(from, why);
     }
 
@@ -114,17 +115,17 @@
 fn an_endpoint_that_operators_took_out_gets_nothing_until_they_put_it_back() {
     let mut forwarder = Forwarder::start();
     forwarder.gets_calls("before it is taken out");
-    forwarder.play(&["send operator maint-on nobody", "expect operator 400"]);
-    forwarder.play(&["send operator maint-on e1", "expect operator 200"]);
+    forwarder.run_steps(&["send operator maint-on nobody", "expect operator 400"]);
+    forwarder.run_steps(&["send operator maint-on e1", "expect operator 200"]);
     thread::sleep(GRACE);
     forwarder.gets_nothing("though it is out");
     // Discovery goes on to list it as ready, and is told of as a whole new list.
-    forwarder.play(&["send list e2 Ready", "send platform move", "send daemon HUP"]);
-    forwarder.play(&["expect counter list_moves=1", "expect counter list_old=0"]);
+    forwarder.run_steps(&["send list e2 Ready", "send platform move", "send daemon HUP"]);
+    forwarder.run_steps(&["expect counter list_moves=1", "expect counter list_old=0"]);
     forwarder.gets_nothing("behind a new list");
-    forwarder.play(&["send operator maint-on e1", "expect operator 200"]);
+    forwarder.run_steps(&["send operator maint-on e1", "expect operator 200"]);
     forwarder.put_back("operator", "once it is back");
-    forwarder.play(&["send operator maint-on e2", "expect operator 200"]);
+    forwarder.run_steps(&["send operator maint-on e2", "expect operator 200"]);
     forwarder.gets_calls("as the only one that is in use");
 }
 
@@ -133,15 +134,15 @@
 fn what_one_process_is_told_binds_the_one_beside_it_and_the_next() {
     let mut forwarder = Forwarder::start();
     forwarder.gets_calls("before it is taken out");
-    forwarder.play(&["send daemon beside", "send operator maint-on e1", "expect operator 200"]);
+    forwarder.run_steps(&["send daemon beside", "send operator maint-on e1", "expect operator 200"]);
     thread::sleep(GRACE);
     forwarder.gets_nothing("though the new process has taken it out");
     forwarder.put_back("old-operator", "once the old process has put it back");
-    forwarder.play(&["expect log put back at another process"]);
-    forwarder.play(&["send old-operator maint-on e1", "expect operator 200", "send old KILL"]);
+    forwarder.run_steps(&["expect log put back at another process"]);
+    forwarder.run_steps(&["send old-operator maint-on e1", "expect operator 200", "send old KILL"]);
     thread::sleep(GRACE);
     forwarder.gets_nothing("though the old process had taken it out");
-    forwarder.play(&["send daemon KILL", "send daemon start", "expect log 1 endpoints are out of use"]);
+    forwarder.run_steps(&["send daemon KILL", "send daemon start", "expect log 1 endpoints are out of use"]);
     forwarder.traffic();
     forwarder.gets_nothing("after a kill");
     forwarder.put_back("operator", "once the next process has put it back");
@@ -152,14 +153,14 @@
 fn neither_an_outage_of_discovery_nor_a_new_list_puts_it_back() {
     let mut forwarder = Forwarder::start();
     forwarder.gets_calls("before it is taken out");
-    forwarder.stage.refuse_list_calls(u32::MAX);
-    forwarder.play(&["send operator maint-on e1", "expect operator 200", "expect counter list_old=1"]);
+    forwarder.harness.refuse_list_requests(u32::MAX);
+    forwarder.run_steps(&["send operator maint-on e1", "expect operator 200", "expect counter list_old=1"]);
     thread::sleep(GRACE);
     forwarder.gets_nothing("while discovery is down");
-    forwarder.play(&["send list e1 Gone"]);
-    forwarder.stage.refuse_list_calls(0);
-    forwarder.play(&["expect log Gone", "send list e1 Ready", "expect counter list_old=0"]);
-    while !forwarder.stage.list_was_told() {
+    forwarder.run_steps(&["send list e1 Gone"]);
+    forwarder.harness.refuse_list_requests(0);
+    forwarder.run_steps(&["expect log Gone", "send list e1 Ready", "expect counter list_old=0"]);
+    while !forwarder.harness.current_list_was_served() {
         thread::sleep(SEND_EVERY);
     }
     forwarder.gets_nothing("though the list names it again");
@@ -171,15 +172,15 @@
 fn a_drain_that_one_process_is_told_binds_the_one_beside_it() {
     let mut forwarder = Forwarder::start();
     forwarder.gets_calls("while it is ready");
-    forwarder.stage.refuse_list_calls(u32::MAX);
-    forwarder.play(&["send daemon beside", "expect log another process of this forwarder is there"]);
-    forwarder.play(&["send list e1 Terminating", "expect log drains, as the other process was told"]);
+    forwarder.harness.refuse_list_requests(u32::MAX);
+    forwarder.run_steps(&["send daemon beside", "expect log another process of this forwarder is there"]);
+    forwarder.run_steps(&["send list e1 Terminating", "expect log drains, as the other process was told"]);
     thread::sleep(GRACE);
     forwarder.gets_nothing("though the old process knows that it drains");
-    forwarder.play(&["send old KILL"]);
+    forwarder.run_steps(&["send old KILL"]);
     forwarder.gets_nothing("though the old process is gone");
-    forwarder.play(&["send list e1 Ready"]);
-    forwarder.stage.refuse_list_calls(0);
-    forwarder.play(&["send operator maint-on e2", "expect operator 200"]);
+    forwarder.run_steps(&["send list e1 Ready"]);
+    forwarder.harness.refuse_list_requests(0);
+    forwarder.run_steps(&["send operator maint-on e2", "expect operator 200"]);
     forwarder.gets_calls("once the own list says that it is ready");
 }
--- a/daemon/tests/restart_ready.rs
+++ b/daemon/tests/restart_ready.rs
@@ -1,10 +1,10 @@
 //! Many processes killed and started again at once: nine in ten are ready within ten seconds, on sockets of this machine.
 
 #[allow(dead_code)] // the scenarios use the rest
-mod stage;
+mod harness;
 
+use harness::Harness;
 use rstest::rstest;
-use stage::Stage;
 use std::sync::{Arc, Barrier};
 use std::thread;
 use std::time::{Duration, Instant};
@@ -26,57 +26,57 @@
     BackAfter(Duration),
 }
 
-fn play(stage: &mut Stage, line: &str) {
+fn run_step(harness: &mut Harness, line: &str) {
     let words: Vec<&str> = line.split(' ').collect();
-    stage.play(&words).unwrap_or_else(|e| panic!("{line}: {e}\n{}", stage.log()));
+    harness.run_step(&words).unwrap_or_else(|e| panic!("{line}: {e}\n{}", harness.log()));
 }
 
 /// One process of a large fleet that was killed with work in its log.
-fn killed_at_work(discovery: Discovery) -> Stage {
-    let mut stage = Stage::default();
+fn killed_at_work(discovery: Discovery) -> Harness {
+    let mut harness = Harness::default();
     let given =
         ["given endpoint e1 dest=1", "given setting replicasOfMe=300", "given setting limits.maxOpen=100"];
-    given.into_iter().for_each(|line| play(&mut stage, line));
+    given.into_iter().for_each(|line| run_step(&mut harness, line));
     if matches!(discovery, Discovery::BackAfter(_)) {
-        play(&mut stage, "given list unknown");
+        run_step(&mut harness, "given list unknown");
     }
-    play(&mut stage, "send daemon start");
-    while !is_ready(&mut stage, "first") {
+    run_step(&mut harness, "send daemon start");
+    while !is_ready(&mut harness, "first") {
         thread::sleep(ASK_EVERY);
     }
     for n in 0..OWED {
-        play(&mut stage, &format!("send c1 status id=m{n} dest=1 deadline=20"));
-        play(&mut stage, "expect c1 202");
+        run_step(&mut harness, &format!("send c1 status id=m{n} dest=1 deadline=20"));
+        run_step(&mut harness, "expect c1 202");
     }
-    play(&mut stage, "send daemon KILL");
+    run_step(&mut harness, "send daemon KILL");
     if discovery != Discovery::Answers {
-        play(&mut stage, "send platform mute");
+        run_step(&mut harness, "send platform mute");
     }
-    stage
+    harness
 }
 
 /// Asks once, over a connection of its own.
-fn is_ready(stage: &mut Stage, who: &str) -> bool {
-    play(stage, &format!("send {who} raw GET_/ready_HTTP/1.1\\r\\n\\r\\n"));
-    let ready = stage.play(&["expect", who, "200"]).is_ok();
-    play(stage, &format!("close {who}"));
+fn is_ready(harness: &mut Harness, who: &str) -> bool {
+    run_step(harness, &format!("send {who} raw GET_/ready_HTTP/1.1\\r\\n\\r\\n"));
+    let ready = harness.run_step(&["expect", who, "200"]).is_ok();
+    run_step(harness, &format!("close {who}"));
     ready
 }
 
 /// How long a process takes from its start until it says that it is ready; none beyond the bound.
-fn ready_after(stage: &mut Stage, discovery: Discovery) -> Option<Duration> {
+fn ready_after(harness: &mut Harness, discovery: Discovery) -> Option<Duration> {
     let started = Instant::now();
-    play(stage, "send daemon start");
+    run_step(harness, "send daemon start");
     let mut back = match discovery {
         Discovery::BackAfter(span) => Some(span),
         Discovery::Answers | Discovery::Down => None,
     };
     for question in 0.. {
         if back.is_some_and(|span| started.elapsed() >= span) {
-            play(stage, "send platform speak");
+            run_step(harness, "send platform speak");
             back = None;
         }
-        if is_ready(stage, &format!("r{question}")) {
+        if is_ready(harness, &format!("r{question}")) {
             break;
         }
         if started.elapsed() > READY_WITHIN {
@@ -97,9 +97,9 @@
         .map(|_| {
             let all_at_once = all_at_once.clone();
             thread::spawn(move || {
-                let mut stage = killed_at_work(discovery);
+                let mut harness = killed_at_work(discovery);
                 all_at_once.wait();
-                ready_after(&mut stage, discovery)
+                ready_after(&mut harness, discovery)
             })
         })
         .collect();
--- a/daemon/tests/scenarios.rs
+++ b/daemon/tests/scenarios.rs
@@ -5,20 +5,20 @@
 //! `expect WHO nothing MILLISECONDS` looks at the clock, and can pass wrongly but never fail wrongly.
 
 #[allow(dead_code)] // other tests use the rest
-mod stage;
+mod harness;
 
+use harness::Harness;
 use rstest::rstest;
-use stage::Stage;
 use std::path::PathBuf;
 
 #[rstest]
 fn scenario(#[files("tests/scenarios/*.scn")] path: PathBuf) {
     let text = std::fs::read_to_string(&path).expect("the scenario is there");
-    let mut stage = Stage::default();
+    let mut harness = Harness::default();
     for (i, line) in text.lines().enumerate() {
         let words: Vec<&str> = line.split('#').next().unwrap_or("").split_whitespace().collect();
-        if let Err(e) = stage.play(&words) {
-            panic!("{}:{}: {line}\n{e}\nlog:\n{}", path.display(), i + 1, stage.log());
+        if let Err(e) = harness.run_step(&words) {
+            panic!("{}:{}: {line}\n{e}\nlog:\n{}", path.display(), i + 1, harness.log());
         }
     }
 }
