--- a/daemon/tests/command_line.rs
+++ b/daemon/tests/command_line.rs
@@ -1,11 +1,13 @@
-//! A bad command line or configuration: one plain line on stderr, and an exit that is not zero.
+//! An invalid command line or configuration must give one line on stderr and a non-zero exit status.
 
 use rstest::rstest;
 use std::process::Command;
 
-const GOOD: &str = r#"{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1",
+/// A valid configuration.
+const VALID_CONFIG: &str = r#"{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1",
     "settings":{"classes":[{"name":"a","effect":"once"}]}}"#;
 
+/// Runs the program with these arguments and this configuration; returns the exit status, stdout and stderr.
 fn run(args: &[&str], config: Option<&str>) -> (i32, String, String) {
     let folder =
         std::env::temp_dir().join(format!("onyxrock-line-{}-{:x}", std::process::id(), hash(args, config)));
@@ -16,17 +18,18 @@
         std::fs::write(folder.join("c.json"), text).unwrap();
         command.env("GW_CONFIG", folder.join("c.json"));
     }
-    let out = command.output().unwrap();
+    let output = command.output().unwrap();
     std::fs::remove_dir_all(&folder).unwrap();
-    let text = |b: Vec<u8>| String::from_utf8(b).unwrap();
-    (out.status.code().unwrap(), text(out.stdout), text(out.stderr))
+    let to_text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
+    (output.status.code().unwrap(), to_text(output.stdout), to_text(output.stderr))
 }
 
+/// Gives each run a folder of its own.
 fn hash(args: &[&str], config: Option<&str>) -> u64 {
     use std::hash::{DefaultHasher, Hash, Hasher};
-    let mut h = DefaultHasher::new();
-    (args, config).hash(&mut h);
-    h.finish()
+    let mut hasher = DefaultHasher::new();
+    (args, config).hash(&mut hasher);
+    hasher.finish()
 }
 
 #[rstest]
@@ -41,39 +44,47 @@
 #[case::bad_address(&["check"], Some(r#"{"name":"n","listen":"here","discovery":"x","settings":{"classes":[{}]}}"#), "listen")]
 #[case::bad_list(&["check"], Some(r#"{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1",
     "settings":{"classes":[{"name":"a"}]},"known":{"generation":1,"instances":[{}]}}"#), "list")]
-#[case::wrong_setting(&["serve"], Some(r#"{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1",
+#[case::invalid_setting(&["serve"], Some(r#"{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1",
     "settings":{"classes":[{"name":"a"}],"limits":{"secondCopies":"yes"}}}"#), "limits.secondCopies is not true or false")]
-#[case::members_of_whom(&["members"], None, "--at ADDRESS")]
-#[case::duties_of_nobody(&["duties", "--at", "127.0.0.1:1"], None, "127.0.0.1:1: ")]
-#[case::no_address(&["duties", "--at", "here"], None, "--at is no address")]
-#[case::no_product_file(&["check", "--product", "/nonexistent"], Some(GOOD), "/nonexistent")]
-#[case::product_is_no_toml(&["serve", "--product", "/proc/self/cmdline"], Some(GOOD), "/proc/self/cmdline:1: ")]
-fn bad_lines_are_told_plainly(#[case] args: &[&str], #[case] config: Option<&str>, #[case] word: &str) {
-    let (code, out, err) = run(args, config);
+#[case::members_without_address(&["members"], None, "--at ADDRESS")]
+#[case::duties_of_unreachable_process(&["duties", "--at", "127.0.0.1:1"], None, "127.0.0.1:1: ")]
+#[case::invalid_address(&["duties", "--at", "here"], None, "--at is no address")]
+#[case::no_product_file(&["check", "--product", "/nonexistent"], Some(VALID_CONFIG), "/nonexistent")]
+#[case::product_file_not_toml(&["serve", "--product", "/proc/self/cmdline"], Some(VALID_CONFIG), "/proc/self/cmdline:1: ")]
+fn invalid_input_gives_one_line_on_stderr(
+    #[case] args: &[&str], #[case] config: Option<&str>, #[case] expected: &str,
+) {
+    let (code, stdout, stderr) = run(args, config);
     assert_ne!(code, 0);
-    assert_eq!((out.as_str(), err.trim_end().lines().count()), ("", 1), "{err}");
-    assert!(err.starts_with("onyxrock: ") && err.contains(word), "{err}");
+    assert_eq!((stdout.as_str(), stderr.trim_end().lines().count()), ("", 1), "{stderr}");
+    assert!(stderr.starts_with("onyxrock: ") && stderr.contains(expected), "{stderr}");
 }
 
 #[test]
-fn good_ones_are_answered() {
+fn valid_commands_succeed() {
     assert_eq!(run(&["version"], None).1, format!("onyxrock {}\n", env!("CARGO_PKG_VERSION")));
     assert!(run(&["--help"], None).1.starts_with("usage: "));
-    let (code, out, _) = run(&["check"], Some(GOOD));
-    let said: Vec<_> = out.lines().collect();
-    assert_eq!((code, said[0]), (0, "n1: listens on 127.0.0.1:0, 1 classes, 0 endpoints known"));
-    assert!(said.iter().any(|l| l.ends_with("never two at once")), "what the settings allow: {out}");
+    let (code, stdout, _) = run(&["check"], Some(VALID_CONFIG));
+    let lines: Vec<_> = stdout.lines().collect();
+    assert_eq!((code, lines[0]), (0, "n1: listens on 127.0.0.1:0, 1 classes, 0 endpoints known"));
+    assert!(
+        lines.iter().any(|l| l.ends_with("never two at once")),
+        "no line on what the settings allow: {stdout}"
+    );
 }
 
 #[test]
-fn the_files_of_the_deployment_are_sound() {
-    let deploy = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/");
+fn the_deployment_files_pass_the_check_command() {
+    let deploy_folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/");
     let settings = include_str!("harness/settings.json");
     let config =
         format!(r#"{{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{settings}}}"#);
-    let product = format!("{deploy}product.toml");
-    let (code, out, err) = run(&["check", "--product", &product], Some(&config));
-    assert_eq!((code, err.as_str()), (0, ""));
-    assert!(out.contains("1 clients, 1 gateways") && out.contains("1 endpoints in the zone"), "{out}");
-    assert!(out.contains("duties on 127.0.0.1:7946, 3 members, 3 voters"), "{out}");
+    let product_file = format!("{deploy_folder}product.toml");
+    let (code, stdout, stderr) = run(&["check", "--product", &product_file], Some(&config));
+    assert_eq!((code, stderr.as_str()), (0, ""));
+    assert!(
+        stdout.contains("1 clients, 1 gateways") && stdout.contains("1 endpoints in the zone"),
+        "{stdout}"
+    );
+    assert!(stdout.contains("duties on 127.0.0.1:7946, 3 members, 3 voters"), "{stdout}");
 }
