--- a/daemon/tests/crowded_discovery.rs
+++ b/daemon/tests/crowded_discovery.rs
@@ -1,7 +1,8 @@
-//! Discovery that is up and crowded: it refuses calls, one after the other, and moves more than once. What it has to tell
-//! counts as known 6 s later all the same, and nothing may go to a server that drains from 1 s after that.
+//! Discovery is available but overloaded: it refuses several list requests in a row, and its address changes
+//! more than once. A change in its list must still be known 6 s later, and from 1 s after that no call may
+//! reach an endpoint that drains.
 
-#[allow(dead_code)] // the scenarios use the rest
+#[allow(dead_code)] // this test uses a part of the harness; the scenarios use the rest
 mod harness;
 
 use harness::Harness;
@@ -10,72 +11,84 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A change counts as known so long after discovery had it, whatever calls it refused.
+/// A change must be known this long after discovery has it, whatever requests discovery refuses.
 const KNOWN_WITHIN: Duration = Duration::from_secs(6);
-/// From when on a drain is known nothing new may go there.
+/// From this long after a drain is known, no new call may reach the endpoint.
 const GRACE: Duration = Duration::from_secs(1);
-/// Calls that are refused in a row once the server drains.
-const REFUSED: u32 = 5;
-/// New configurations in quick succession, each of which names another address of discovery.
-const MOVES: usize = 4;
-const MOVE_EVERY: Duration = Duration::from_millis(400);
-const SEND_EVERY: Duration = Duration::from_millis(50);
+/// List requests that discovery refuses in a row once the endpoint drains.
+const REFUSED_REQUESTS: u32 = 5;
+/// Configuration reloads in quick succession, each with another address of discovery.
+const DISCOVERY_MOVES: usize = 4;
+const MOVE_INTERVAL: Duration = Duration::from_millis(400);
+const SUBMIT_INTERVAL: Duration = Duration::from_millis(50);
 
 fn run_step(harness: &mut Harness, line: &str) {
     let words: Vec<&str> = line.split(' ').collect();
     harness.run_step(&words).unwrap_or_else(|e| panic!("{line}: {e}\n{}", harness.log()));
 }
 
-/// Hands messages in until it is told to stop.
-fn traffic(harness: &Harness, over: Arc<AtomicBool>) -> thread::JoinHandle<()> {
+/// Submits messages in a thread of its own until `stop` is set.
+fn start_traffic(harness: &Harness, stop: Arc<AtomicBool>) -> thread::JoinHandle<()> {
     let client = harness.http_client();
     thread::spawn(move || {
-        for n in 0.. {
-            if over.load(Ordering::Relaxed) {
+        for index in 0.. {
+            if stop.load(Ordering::Relaxed) {
                 return;
             }
-            client.submit(&format!("m{n}"));
-            thread::sleep(SEND_EVERY);
+            client.submit(&format!("m{index}"));
+            thread::sleep(SUBMIT_INTERVAL);
         }
     })
 }
 
 #[test]
-fn a_drain_is_known_in_time_though_discovery_moves_and_refuses_calls() {
+fn a_drain_is_known_in_time_while_discovery_moves_and_refuses_requests() {
     let mut harness = Harness::default();
     let arrivals = Arc::new(Mutex::new(Vec::new()));
     harness.add_accepting_endpoint("drains", "1", arrivals.clone());
     harness.add_accepting_endpoint("stays", "1", Arc::default());
-    // A handful of forwarders share discovery.
+    // A small fleet shares discovery.
     run_step(&mut harness, "given setting replicasOfMe=6");
     run_step(&mut harness, "send daemon start");
     run_step(&mut harness, "expect counter list_answers=1");
-    let over = Arc::new(AtomicBool::new(false));
-    let traffic = traffic(&harness, over.clone());
+    let stop = Arc::new(AtomicBool::new(false));
+    let traffic = start_traffic(&harness, stop.clone());
 
     harness.refuse_list_requests(u32::MAX);
-    for _ in 0..MOVES {
+    for _ in 0..DISCOVERY_MOVES {
         run_step(&mut harness, "send platform move");
         run_step(&mut harness, "send daemon HUP");
-        thread::sleep(MOVE_EVERY);
+        thread::sleep(MOVE_INTERVAL);
     }
-    run_step(&mut harness, &format!("expect counter list_moves={MOVES}"));
+    run_step(&mut harness, &format!("expect counter list_moves={DISCOVERY_MOVES}"));
     run_step(&mut harness, "send list drains Terminating");
-    harness.refuse_list_requests(REFUSED);
-    let drained = Instant::now();
-    let ends = drained + KNOWN_WITHIN + GRACE;
-    while !harness.current_list_was_served() && Instant::now() < ends {
-        thread::sleep(SEND_EVERY);
+    harness.refuse_list_requests(REFUSED_REQUESTS);
+    let drained_at = Instant::now();
+    let last_call_allowed = drained_at + KNOWN_WITHIN + GRACE;
+    while !harness.current_list_was_served() && Instant::now() < last_call_allowed {
+        thread::sleep(SUBMIT_INTERVAL);
     }
-    let known = Instant::now();
-    // What was sent just before has arrived by then.
+    let known_at = Instant::now();
+    // Calls that were sent just before have arrived by the end of this.
     thread::sleep(GRACE);
-    over.store(true, Ordering::Relaxed);
+    stop.store(true, Ordering::Relaxed);
     traffic.join().unwrap();
 
-    let last = arrivals.lock().unwrap().last().copied().expect("the server gets calls");
+    let last_call = arrivals.lock().unwrap().last().copied().expect("the endpoint got calls");
     let log = harness.log();
-    assert!(known < ends, "the drain is not known {:?} after discovery had it\n{log}", known - drained);
-    assert!(last <= ends, "a request went there {:?} after the grace period\n{log}", last - ends);
-    assert!(last <= known + GRACE, "a request went there {:?} after the drain was known", last - known);
+    assert!(
+        known_at < last_call_allowed,
+        "the drain was not known {:?} after discovery had it\n{log}",
+        known_at - drained_at
+    );
+    assert!(
+        last_call <= last_call_allowed,
+        "a call reached the draining endpoint {:?} after the grace period\n{log}",
+        last_call - last_call_allowed
+    );
+    assert!(
+        last_call <= known_at + GRACE,
+        "a call reached the draining endpoint {:?} after the drain was known",
+        last_call - known_at
+    );
 }
