--- a/daemon/tests/scenarios.rs
+++ b/daemon/tests/scenarios.rs
@@ -1,10 +1,11 @@
-//! Plays the scenarios in tests/scenarios against the program itself, on sockets of this machine.
+//! Runs the scenarios in tests/scenarios against a real daemon process over loopback sockets.
 //!
-//! A scenario is lines of `send WHO ...`, `expect WHO ...`, `close WHO` and `wait MILLISECONDS`, after lines of
-//! `given ...` that name who is there. `expect` waits for the event, however long it takes within a bound; only
-//! `expect WHO nothing MILLISECONDS` looks at the clock, and can pass wrongly but never fail wrongly.
+//! A scenario first names its simulated peers in lines of `given ...`. Lines of `send NAME ...`, `expect NAME
+//! ...`, `close NAME` and `wait MILLISECONDS` follow. `expect` waits for the event up to a time limit that
+//! only a failing test reaches. Only `expect NAME nothing MILLISECONDS` depends on the clock: on a slow
+//! machine it may miss a fault, but it never reports one that is not there.
 
-#[allow(dead_code)] // other tests use the rest
+#[allow(dead_code)] // the scenarios use a part of the harness; other tests use the rest
 mod harness;
 
 use harness::Harness;
@@ -13,12 +14,12 @@
 
 #[rstest]
 fn scenario(#[files("tests/scenarios/*.scn")] path: PathBuf) {
-    let text = std::fs::read_to_string(&path).expect("the scenario is there");
+    let text = std::fs::read_to_string(&path).expect("the scenario file is readable");
     let mut harness = Harness::default();
-    for (i, line) in text.lines().enumerate() {
+    for (index, line) in text.lines().enumerate() {
         let words: Vec<&str> = line.split('#').next().unwrap_or("").split_whitespace().collect();
         if let Err(e) = harness.run_step(&words) {
-            panic!("{}:{}: {line}\n{e}\nlog:\n{}", path.display(), i + 1, harness.log());
+            panic!("{}:{}: {line}\n{e}\nlog:\n{}", path.display(), index + 1, harness.log());
         }
     }
 }
--- a/daemon/tests/upgrade.rs
+++ b/daemon/tests/upgrade.rs
@@ -1,17 +1,19 @@
-//! Two processes of one forwarder: to the endpoints they are one sender.
+//! Two processes of one forwarder during an upgrade: endpoints must see them as one sender.
 
-#[allow(dead_code)] // the scenarios use the rest
+#[allow(dead_code)] // this test uses a part of the harness; the scenarios use the rest
 mod harness;
 
 use harness::Harness;
 use rstest::rstest;
 use std::time::{Duration, Instant};
 
-/// The endpoint told a wait of this, and nothing may go there meanwhile.
-const WAIT: &str = "Retry-After=2.5";
-const LOOK: &str = "expect e1 nothing 1500";
-/// New connections fall on either process by chance: one of so many on each, but for once in a million million times.
-const MESSAGES: usize = 40;
+/// The header of the endpoint's refusal: no call may reach the endpoint for this many seconds.
+const RETRY_AFTER_HEADER: &str = "Retry-After=2.5";
+/// A time within the retry-after, in milliseconds.
+const EXPECT_NO_CALL: &str = "expect e1 nothing 1500";
+/// The operating system gives each new connection to one of the two processes at random. With this many, each
+/// process gets at least one, but for once in a million million times.
+const MESSAGE_COUNT: usize = 40;
 
 fn run_steps(harness: &mut Harness, lines: &[&str]) {
     for line in lines {
@@ -20,45 +22,46 @@
     }
 }
 
-/// Hands a message in, and has the endpoint tell a wait.
-fn told_a_wait(harness: &mut Harness) {
+/// Submits a message, which the endpoint refuses with a retry-after.
+fn refuse_with_retry_after(harness: &mut Harness) {
     run_steps(harness, &["send c1 status id=s1 dest=1 deadline=20", "expect c1 202", "expect e1 s1"]);
-    run_steps(harness, &[&format!("send e1 s1 429 {WAIT}")]);
+    run_steps(harness, &[&format!("send e1 s1 429 {RETRY_AFTER_HEADER}")]);
 }
 
-fn messages(harness: &Harness) {
+fn submit_messages(harness: &Harness) {
     let client = harness.http_client();
-    (0..MESSAGES).for_each(|i| client.submit(&format!("m{i}")));
+    (0..MESSAGE_COUNT).for_each(|index| client.submit(&format!("m{index}")));
 }
 
 #[rstest]
-#[case::told_before_the_second_one_started(false)]
-#[case::told_while_both_were_there(true)]
-fn a_wait_that_one_process_is_told_binds_the_one_beside_it(#[case] both_were_there: bool) {
+#[case::received_before_the_second_process_started(false)]
+#[case::received_while_both_processes_ran(true)]
+fn a_retry_after_received_by_one_process_applies_to_its_sibling(#[case] both_running: bool) {
     let mut harness = Harness::default();
     run_steps(&mut harness, &["given operators", "given endpoint e1 dest=1", "send daemon start"]);
-    if both_were_there {
+    if both_running {
         run_steps(
             &mut harness,
             &["send daemon beside", "expect log another process of this forwarder is there"],
         );
-        told_a_wait(&mut harness);
+        refuse_with_retry_after(&mut harness);
     } else {
-        told_a_wait(&mut harness);
+        refuse_with_retry_after(&mut harness);
         run_steps(&mut harness, &["expect counter full=1", "send daemon beside"]);
     }
-    // The answer crosses what goes out within a tenth of a second of it.
+    // A call that is sent within a tenth of a second of the refusal may cross it on the way.
     std::thread::sleep(std::time::Duration::from_millis(150));
-    messages(&harness);
-    run_steps(&mut harness, &[LOOK]);
+    submit_messages(&harness);
+    run_steps(&mut harness, &[EXPECT_NO_CALL]);
 }
 
-/// The new process says that it is ready once it knows what the old one was told: from then on that may be killed.
+/// The new process reports that it is ready only once it knows the retry-after of the old process: from then
+/// on a kill of the old process must not lose it.
 #[test]
-fn a_wait_outlives_the_process_that_was_told_it() {
+fn a_retry_after_outlives_the_process_that_received_it() {
     let mut harness = Harness::default();
     run_steps(&mut harness, &["given operators", "given endpoint e1 dest=1", "send daemon start"]);
-    told_a_wait(&mut harness);
+    refuse_with_retry_after(&mut harness);
     run_steps(&mut harness, &["expect counter full=1", "send daemon beside"]);
     loop {
         run_steps(&mut harness, &["send operator status"]);
@@ -67,25 +70,30 @@
         }
     }
     run_steps(&mut harness, &["send old KILL", "expect log messages of another process are taken over"]);
-    messages(&harness);
-    run_steps(&mut harness, &[LOOK]);
+    submit_messages(&harness);
+    run_steps(&mut harness, &[EXPECT_NO_CALL]);
 }
 
-/// An end counts as told in time up to so long after its message's time.
-const TOLD_WITHIN: Duration = Duration::from_millis(300);
+/// The notice of a message's end is in time up to this long after the message's deadline.
+const NOTICE_WITHIN: Duration = Duration::from_millis(300);
 
-/// The old process stands still in an upgrade, with a message whose time ends meanwhile.
+/// During an upgrade the old process hangs, stopped by SIGSTOP, while it holds a message whose deadline
+/// passes.
 #[test]
-fn an_end_that_a_process_owes_which_hangs_in_an_upgrade_is_told_in_time() {
+fn a_notice_owed_by_a_process_that_hangs_in_an_upgrade_is_sent_in_time() {
     let mut harness = Harness::default();
     run_steps(&mut harness, &["given endpoint e1 dest=1", "send daemon start"]);
     run_steps(&mut harness, &["send c1 status id=s1 dest=1 deadline=3"]);
-    let time_is_up = Instant::now() + Duration::from_secs(3);
+    let deadline = Instant::now() + Duration::from_secs(3);
     run_steps(&mut harness, &["expect c1 202", "expect e1 s1"]);
     run_steps(&mut harness, &["send daemon beside", "expect log another process of this forwarder is there"]);
     run_steps(&mut harness, &["send old STOP"]);
     while harness.run_step(&["expect", "platform", "s1", "returned"]).is_err() {
-        assert!(Instant::now() < time_is_up + TOLD_WITHIN, "nobody tells its end\n{}", harness.log());
+        assert!(
+            Instant::now() < deadline + NOTICE_WITHIN,
+            "no process has sent the notice of the message's end\n{}",
+            harness.log()
+        );
     }
-    assert!(Instant::now() < time_is_up + TOLD_WITHIN, "it is told late");
+    assert!(Instant::now() < deadline + NOTICE_WITHIN, "the notice of the message's end came late");
 }
