--- a/config/tests/settings.rs
+++ b/config/tests/settings.rs
@@ -8,7 +8,7 @@
 /// Rough rates in the list, no load reports in responses, one attempt at a time, repeats dropped within one
 /// zone. The daemon's tests use the same settings.
 fn limits_in_list() -> Value {
-    serde_json::from_str(include_str!("../../daemon/tests/stage/settings.json")).unwrap()
+    serde_json::from_str(include_str!("../../daemon/tests/harness/settings.json")).unwrap()
 }
 
 /// Load reports in responses, no rates in the list, second copies, repeats dropped by every endpoint of a
