--- a/daemon/tests/operators.rs
+++ b/daemon/tests/operators.rs
@@ -192,7 +192,10 @@
     forwarder.expect_call("while it is ready");
     forwarder.harness.refuse_list_requests(u32::MAX);
     forwarder.run_steps(&["send daemon beside", "expect log another process of this forwarder is there"]);
-    forwarder.run_steps(&["send list e1 Terminating", "expect log drains, as the other process was told"]);
+    forwarder.run_steps(&[
+        "send list e1 Terminating",
+        "expect log endpoint drains according to the other process",
+    ]);
     thread::sleep(GRACE);
     forwarder.expect_no_call("after the old process learned that it drains");
     forwarder.run_steps(&["send old KILL"]);
