--- a/lab/src/capacity/cost.rs
+++ b/lab/src/capacity/cost.rs
@@ -1,37 +1,40 @@
-//! The costs that are measured, and the report that holds them.
+//! The measured costs, and the figures of the report that contains them.
 
 use super::fit::{Fit, Shape};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Of the report. A report of another one is refused.
-pub const VERSION: u32 = 1;
-/// The experiment that makes it.
+/// Version of the report's figures. A report of another version is refused.
+pub const REPORT_VERSION: u32 = 1;
+/// Name of the experiment that measures the slopes.
 pub const EXPERIMENT: &str = "slopes";
 
-/// Each cost: its name, what one is, the unit of its cost, and the code that carries it.
+/// Defines the costs, each with its name, the item whose cost it is, its unit, and the code that incurs it.
+/// The three texts are written into the reports and the page, so they keep the former names of some types:
+/// `roster::Memories` is `roster::HealthStore` today, `duties::Book` is `duties::DutyTable`, and
+/// `config::list::Reader` is `config::list::ListReader`.
 macro_rules! costs {
-    ($($(#[$doc:meta])* $name:ident, $per:literal, $unit:literal, $mechanism:literal;)*) => {
-        /// Something whose cost was measured at rising sizes.
+    ($($(#[$attribute:meta])* $name:ident, $item:literal, $unit:literal, $mechanism:literal;)*) => {
+        /// A cost that was measured at rising sizes. Reports and the page contain its name in snake case.
         #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Serialize, Deserialize)]
         #[serde(rename_all = "snake_case")]
         pub enum Cost {
-            $($(#[$doc])* $name,)*
+            $($(#[$attribute])* $name,)*
         }
 
         impl Cost {
             pub const ALL: &[Cost] = &[$(Cost::$name),*];
 
-            /// What one of the size is.
+            /// The item whose cost this is; the size is a number of such items.
             #[must_use]
-            pub fn per(self) -> &'static str {
-                match self { $(Cost::$name => $per),* }
+            pub fn item(self) -> &'static str {
+                match self { $(Cost::$name => $item),* }
             }
             #[must_use]
             pub fn unit(self) -> &'static str {
                 match self { $(Cost::$name => $unit),* }
             }
-            /// Crate and type that carry it.
+            /// The crates and types that incur the cost.
             #[must_use]
             pub fn mechanism(self) -> &'static str {
                 match self { $(Cost::$name => $mechanism),* }
@@ -41,60 +44,71 @@
 }
 
 costs! {
-    /// A destination of one endpoint in the list.
+    /// A destination with one endpoint in the list.
     ListedMemory, "destination listed", "bytes", "roster::Directory";
-    /// A destination in use, in the policy engine and the directory.
+    /// An active destination, in the policy engine and the directory.
     ActiveMemory, "destination active", "bytes", "onyxrock::PolicyEngine, roster::Directory";
-    /// The same while it is out of order.
+    /// An active destination that is down, in the policy engine and the directory.
     DownMemory, "destination down", "bytes", "onyxrock::PolicyEngine, roster::Directory";
-    /// What is remembered of a destination at rest.
-    RestingMemory, "destination remembered", "bytes", "roster::Memories";
-    /// A duty that is wanted and is another member's.
-    WantedMemory, "duty wanted", "bytes", "duties::Book";
+    /// The health that is retained of an inactive destination.
+    #[serde(rename = "resting_memory")]
+    RetainedHealthMemory, "destination remembered", "bytes", "roster::Memories";
+    /// A wanted duty that another member holds.
+    #[serde(rename = "wanted_memory")]
+    WantedDutyMemory, "duty wanted", "bytes", "duties::Book";
     /// A lease at its holder.
     HolderLeaseMemory, "lease held", "bytes", "duties::Holder";
     /// A lease at a voter.
     VoterLeaseMemory, "lease promised", "bytes", "duties::Voter";
-    /// A member at another one.
+    /// A member, in the failure detector of another member.
     MemberMemory, "member watched", "bytes", "membership::Membership";
     /// A message in the policy engine alone.
-    HeldMemory, "message held", "bytes", "onyxrock::PolicyEngine";
-    /// A message in the policy engine and the outstanding messages, with its body.
+    #[serde(rename = "held_memory")]
+    EngineMessageMemory, "message held", "bytes", "onyxrock::PolicyEngine";
+    /// A message in the policy engine and in the ledger's open messages, with its body.
     BacklogMemory, "message of backlog", "bytes", "core::Ledger";
-    /// The same in the log.
+    /// A message of the backlog in the write-ahead log.
     BacklogDisk, "message of backlog", "bytes", "daemon::wal::Wal";
-    /// Reading it back at a start.
+    /// Reading a message back from the write-ahead log at a start.
     BacklogRestartCpu, "message of backlog", "us", "daemon::wal::Wal, core::recover";
-    /// A change in an answer of discovery, read and applied.
+    /// A change in an answer of discovery, parsed and applied.
     ListChangeCpu, "list change", "us", "config::list::Reader, roster::Directory";
     ListChangeBytes, "list change", "bytes", "config::list::Reader";
-    /// An entry of a whole list at a start, read and applied.
-    WholeListCpu, "list entry", "us", "config::list::Reader, roster::Directory";
-    WholeListBytes, "list entry", "bytes", "config::list::Reader";
-    /// One question for changes and its answer with one change, over a loopback connection.
+    /// An entry of a complete list at a start, parsed and applied.
+    #[serde(rename = "whole_list_cpu")]
+    CompleteListCpu, "list entry", "us", "config::list::Reader, roster::Directory";
+    #[serde(rename = "whole_list_bytes")]
+    CompleteListBytes, "list entry", "bytes", "config::list::Reader";
+    /// A watch request and its answer with one change, over a loopback connection.
     WatchAnswerCpu, "answer to a watch", "us", "config::list::Reader, roster::Directory";
     WatchAnswerBytes, "answer to a watch", "bytes", "config::list::Reader";
-    /// Watching members, while one of them is away.
+    /// Failure detection among the members, while one of them is away.
     MemberCpu, "member watched", "us/s", "membership::Membership";
     MemberBytes, "member watched", "bytes/s", "membership::Membership";
-    /// Renewing leases.
+    /// Renewing leases, at their holder.
     HolderLeaseCpu, "lease held", "us/s", "duties::Holder";
     HolderLeaseBytes, "lease held", "bytes/s", "duties::Holder";
-    /// Promising them, three to a holder.
+    /// Promising leases, of which each holder has three, at a voter.
     VoterLeaseCpu, "lease promised", "us/s", "duties::Voter";
     VoterLeaseBytes, "lease promised", "bytes/s", "duties::Voter";
-    /// For one duty that is wanted: finding among the members whose it is, and telling that member.
-    WantedMemberCpu, "member, for one duty wanted", "us/s", "duties::Book";
-    WantedBytes, "duty wanted, of 11,000 members", "bytes/s", "duties::Book";
-    /// Looking through what is in use for what is doubted.
-    ActiveLookCpu, "destination active", "us/s", "onyxrock::PolicyEngine";
-    /// Telling every member the same once.
-    TellAllCpu, "member told", "us", "membership::Membership, sharing::Peers";
-    TellAllBytes, "member told", "bytes", "membership::Membership, sharing::Peers";
+    /// For one wanted duty: finding the member that should hold it among all members, and sending that member
+    /// a message.
+    #[serde(rename = "wanted_member_cpu")]
+    WantedDutyMemberCpu, "member, for one duty wanted", "us/s", "duties::Book";
+    #[serde(rename = "wanted_bytes")]
+    WantedDutyBytes, "duty wanted, of 11,000 members", "bytes/s", "duties::Book";
+    /// Searching the active destinations for unconfirmed destinations.
+    #[serde(rename = "active_look_cpu")]
+    UnconfirmedScanCpu, "destination active", "us/s", "onyxrock::PolicyEngine";
+    /// Sending the same message to every member once.
+    #[serde(rename = "tell_all_cpu")]
+    BroadcastCpu, "member told", "us", "membership::Membership, sharing::Peers";
+    #[serde(rename = "tell_all_bytes")]
+    BroadcastBytes, "member told", "bytes", "membership::Membership, sharing::Peers";
 }
 
 impl Cost {
-    /// As the report names it.
+    /// The name in reports.
     #[must_use]
     pub fn name(self) -> String {
         let name = serde_json::to_value(self).unwrap_or_default();
@@ -105,9 +119,11 @@
 /// One cost with its fit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Slope {
-    /// What one of the size is.
-    pub per: String,
+    /// The item whose cost this is; the size is a number of such items.
+    #[serde(rename = "per")]
+    pub item: String,
     pub unit: String,
+    /// The crates and types that incur the cost.
     pub mechanism: String,
     #[serde(flatten)]
     pub fit: Fit,
@@ -116,33 +132,34 @@
 impl Slope {
     #[must_use]
     pub fn new(cost: Cost, fit: Fit) -> Slope {
-        let [per, unit, mechanism] = [cost.per(), cost.unit(), cost.mechanism()].map(str::to_owned);
-        Slope { per, unit, mechanism, fit }
+        let [item, unit, mechanism] = [cost.item(), cost.unit(), cost.mechanism()].map(str::to_owned);
+        Slope { item, unit, mechanism, fit }
     }
 
-    /// One line for people.
+    /// One readable line for the log of progress. It calls a nonlinear cost `BENT`, after the report's
+    /// `bent`.
     #[must_use]
     pub fn line(&self, cost: Cost) -> String {
-        let (name, unit, per) = (cost.name(), &self.unit, &self.per);
+        let (name, unit, item) = (cost.name(), &self.unit, &self.item);
         let (points, residual) = (self.fit.points.len(), self.fit.residual);
         let shape = match &self.fit.shape {
-            Shape::Straight { slope, intercept } => format!("{slope:.4} {unit} + {intercept:.1}"),
-            Shape::Bent { why } => {
-                format!("BENT ({why}); {:.4} {unit} at the largest size", self.fit.each_at_largest())
+            Shape::Linear { slope, intercept } => format!("{slope:.4} {unit} + {intercept:.1}"),
+            Shape::Nonlinear { reason } => {
+                format!("BENT ({reason}); {:.4} {unit} at the largest size", self.fit.unit_cost_at_largest())
             }
         };
-        format!("{name:<20} {shape} for each {per}; {points} points, residual {residual:.3}")
+        format!("{name:<20} {shape} for each {item}; {points} points, residual {residual:.3}")
     }
 }
 
-/// What the experiment finds; in the report these are the `figures`.
+/// The results of the experiment: the `figures` of its report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Slopes {
     pub version: u32,
     pub seed: u64,
-    /// Megabytes that the process had at most.
+    /// Peak memory of the process in megabytes.
     pub peak_mb: f64,
-    /// Resident bytes for each byte that the allocator counted, at the longest list.
+    /// Resident bytes for each byte that was requested from the allocator, at the longest list.
     pub resident_share: f64,
     pub slopes: BTreeMap<Cost, Slope>,
 }
--- a/lab/src/capacity/mod.rs
+++ b/lab/src/capacity/mod.rs
@@ -1,5 +1,5 @@
-//! What the design costs at a given size: measured slopes, the table worked out from them, and the check that the page
-//! shows the table as it is.
+//! Control cost of the design at a given size: the measured slopes, the table computed from them, and the
+//! check that the committed page shows exactly that table.
 
 pub mod cost;
 mod figure;
@@ -10,41 +10,44 @@
 pub mod size;
 mod table;
 
-pub use figure::{Basis, Figure, Quantity, Verdict};
-pub use page::{BEGIN, END, difference, put};
-pub use reports::{Measured, Reports};
+pub use figure::{Basis, BudgetCheck, Figure, Quantity};
+pub use page::{BEGIN_MARKER, END_MARKER, first_difference, insert_table};
+pub use reports::{Reports, SlopesReport};
 pub use roles::{Deployment, Role, Row, rows};
 pub use table::render;
 
-use size::TWO_YEARS;
+use size::TWO_YEAR_SIZE;
 use std::path::{Path, PathBuf};
 
-/// Senders of each destination in the table's second column.
-pub const OWNERS: f64 = 3.0;
+/// Default number of senders of each destination in the table's second deployment.
+pub const DEFAULT_SENDERS_PER_DESTINATION: f64 = 3.0;
 
-/// What the command is asked to do.
+/// Arguments of the `capacity` command.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
     /// The folder with the reports.
     pub reports: PathBuf,
-    /// The page whose table must be the one that they give.
+    /// The page whose table is compared with the table computed from the reports.
     pub check: Option<PathBuf>,
-    /// The page that the table is put into.
+    /// The page whose table is replaced by the table computed from the reports.
     pub write: Option<PathBuf>,
+    /// Senders of each destination in the second deployment, instead of [`DEFAULT_SENDERS_PER_DESTINATION`].
     pub owners: Option<f64>,
 }
 
-/// Works the table out, and shows, checks or writes it. False: the page's table is another one.
+/// Computes the table, and prints it, compares it with a page or writes it into one. Returns false if the
+/// page shows another table.
 ///
 /// # Errors
 /// One line: a report or the page cannot be used.
 pub fn run(request: &Request) -> Result<bool, String> {
     let reports = Reports::read(&request.reports)?;
-    let flat = Deployment::flat(TWO_YEARS);
-    let owned = Deployment::owned(TWO_YEARS, request.owners.unwrap_or(OWNERS))?;
-    let table = render(&reports, &flat, &owned);
+    let unpartitioned = Deployment::unpartitioned(TWO_YEAR_SIZE);
+    let senders_per_destination = request.owners.unwrap_or(DEFAULT_SENDERS_PER_DESTINATION);
+    let partitioned = Deployment::partitioned(TWO_YEAR_SIZE, senders_per_destination)?;
+    let table = render(&reports, &unpartitioned, &partitioned);
     if let Some(page) = &request.write {
-        let text = put(&read(page)?, &table).map_err(|why| format!("{}: {why}", page.display()))?;
+        let text = insert_table(&read(page)?, &table).map_err(|e| format!("{}: {e}", page.display()))?;
         std::fs::write(page, text).map_err(|e| format!("{}: {e}", page.display()))?;
     }
     let Some(page) = &request.check else {
@@ -53,10 +56,13 @@
         }
         return Ok(true);
     };
-    let difference = difference(&read(page)?, &table).map_err(|why| format!("{}: {why}", page.display()))?;
+    let difference =
+        first_difference(&read(page)?, &table).map_err(|e| format!("{}: {e}", page.display()))?;
     match &difference {
-        Some(lines) => println!("{}: the table is not that of the reports:\n{lines}", page.display()),
-        None => println!("{}: the table is that of the reports", page.display()),
+        Some(lines) => {
+            println!("{}: the table differs from the one computed from the reports:\n{lines}", page.display())
+        }
+        None => println!("{}: the table matches the reports", page.display()),
     }
     Ok(difference.is_none())
 }
--- a/lab/src/capacity/roles.rs
+++ b/lab/src/capacity/roles.rs
@@ -1,26 +1,28 @@
-//! What each role costs: rows that are worked out from slopes.
+//! The cost of each role: rows computed from slopes.
 
 use super::cost::Cost;
-use super::figure::{Basis, Figure, Quantity, Verdict, digits};
+use super::figure::{Basis, BudgetCheck, Figure, Quantity, format_number};
 use super::reports::Reports;
 use super::size::{BUDGET, SECONDS_PER_DAY, Size};
 
-/// After so long without use a destination rests; the default of `[idle] rest_s`.
-const REST_S: f64 = 300.0;
-/// Until then it is remembered; the default of `[idle] forget_s`.
-const FORGET_S: f64 = 14_400.0;
-/// A lease is renewed, and life is told, this often; a quarter of the default of `[duties] lease_s`.
-const RENEW_S: f64 = 0.75;
-/// The default of `[duties] voters`.
-pub const VOTERS: f64 = 5.0;
-/// An outage lasts so long: an estimate.
-const OUTAGE_S: f64 = 3_600.0;
-/// `WANTED_MOST` in `duties/src/book.rs`.
-const WANTED_MOST: f64 = 20_000.0;
-/// `MEMORY_MOST_S` in `src/policy/tuning.rs`: no meter of the policy engine remembers longer.
-const METER_MEMORY_S: f64 = 30.0;
+/// An unused destination is deactivated after this time; the default of `[idle] rest_s`.
+const DEACTIVATE_AFTER_S: f64 = 300.0;
+/// The health of a destination is retained for this time after its last use; the default of `[idle]
+/// forget_s`.
+const FORGET_AFTER_S: f64 = 14_400.0;
+/// Interval of lease renewals and of heartbeats; a quarter of the default of `[duties] lease_s`.
+const RENEW_INTERVAL_S: f64 = 0.75;
+/// Number of voters; the default of `[duties] voters`.
+pub const VOTER_COUNT: f64 = 5.0;
+/// Duration of an outage of a destination; an estimate.
+const OUTAGE_DURATION_S: f64 = 3_600.0;
+/// Maximum number of duties that a forwarder wants at a time; `MAX_WANTED_DUTIES` in
+/// `duties/src/duty_table.rs`.
+const MAX_WANTED_DUTIES: f64 = 20_000.0;
+/// Longest time constant of a rate meter of the policy engine; `RATE_MEMORY_MAX_S` in `src/policy/tuning.rs`.
+const RATE_MEMORY_MAX_S: f64 = 30.0;
 
-/// Which destinations a forwarder takes.
+/// A system size, and the number of destinations that each forwarder sends to.
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment {
     pub size: Size,
@@ -29,79 +31,86 @@
 }
 
 impl Deployment {
-    /// Today's: any forwarder takes any destination.
+    /// Today's deployment: every forwarder sends to every destination.
     #[must_use]
-    pub fn flat(size: Size) -> Deployment {
+    pub fn unpartitioned(size: Size) -> Deployment {
         Deployment { size, destinations: size.destinations }
     }
 
-    /// Each destination has so many senders, spread evenly.
+    /// A deployment in which each destination has a fixed number of senders, spread evenly over the
+    /// forwarders.
     ///
     /// # Errors
-    /// No forwarder can have so few or so many.
-    pub fn owned(size: Size, owners: f64) -> Result<Deployment, String> {
-        if !(1.0..=size.forwarders).contains(&owners) {
-            return Err(format!("{owners} owners of a destination; 1 to {} can be", size.forwarders));
+    /// The number of senders is below one or above the number of forwarders.
+    pub fn partitioned(size: Size, senders_per_destination: f64) -> Result<Deployment, String> {
+        if !(1.0..=size.forwarders).contains(&senders_per_destination) {
+            return Err(format!(
+                "--owners {senders_per_destination}: a destination has 1 to {} senders",
+                size.forwarders
+            ));
         }
-        Ok(Deployment { size, destinations: size.destinations * owners / size.forwarders })
+        Ok(Deployment { size, destinations: size.destinations * senders_per_destination / size.forwarders })
     }
 
-    /// Seconds between two messages of one forwarder for one destination.
-    fn meeting_s(&self) -> f64 {
+    /// Mean seconds between two messages of one forwarder for the same destination.
+    fn message_interval_s(&self) -> f64 {
         self.destinations / self.size.events_per_forwarder()
     }
-    /// Destinations that were used within a span, with even traffic.
+    /// Destinations that one forwarder uses within a span, with traffic spread evenly over the destinations.
     fn used_within(&self, span_s: f64) -> f64 {
-        self.destinations * -(-span_s / self.meeting_s()).exp_m1()
+        self.destinations * -(-span_s / self.message_interval_s()).exp_m1()
     }
+    /// Active destinations of one forwarder.
     fn active(&self) -> f64 {
-        self.used_within(REST_S)
+        self.used_within(DEACTIVATE_AFTER_S)
     }
-    fn resting(&self) -> f64 {
-        self.used_within(FORGET_S) - self.active()
+    /// Inactive destinations whose health one forwarder retains.
+    fn retained(&self) -> f64 {
+        self.used_within(FORGET_AFTER_S) - self.active()
     }
-    /// Destinations down that this forwarder has met in their outage.
+    /// Destinations that are down and that this forwarder has used during their outage.
     fn known_down(&self) -> f64 {
-        self.used_within(OUTAGE_S) * self.size.down
+        self.used_within(OUTAGE_DURATION_S) * self.size.down_share
     }
-    /// Woken destinations that rest again before a second message could prove them.
-    fn unproven(&self) -> f64 {
-        self.active() * (-REST_S / self.meeting_s()).exp()
+    /// Activated destinations that are deactivated again before a second message could confirm them.
+    fn unconfirmed(&self) -> f64 {
+        self.active() * (-DEACTIVATE_AFTER_S / self.message_interval_s()).exp()
     }
-    /// What is doubted, as far as it may be wanted.
-    fn wanted(&self) -> f64 {
-        (self.known_down() + self.unproven()).min(WANTED_MOST)
+    /// Probe duties that one forwarder wants: those of its unconfirmed destinations, up to the maximum.
+    fn wanted_duties(&self) -> f64 {
+        (self.known_down() + self.unconfirmed()).min(MAX_WANTED_DUTIES)
     }
-    /// Changes a second that concern a destination of this forwarder.
+    /// List changes per second that concern a destination of this forwarder.
     fn changes_per_s(&self) -> f64 {
         self.size.changes_per_s() * self.destinations / self.size.destinations
     }
+    /// Restarts per second of one forwarder.
     fn restarts_per_s(&self) -> f64 {
         self.size.restarts_per_day / self.size.forwarders / SECONDS_PER_DAY
     }
     /// Leases that one forwarder holds.
-    fn leases(&self) -> f64 {
+    fn leases_held(&self) -> f64 {
         self.size.destinations_down() / self.size.forwarders
     }
-    /// Members that hold leases.
+    /// Number of members that hold leases.
     fn holders(&self) -> f64 {
         self.size.forwarders.min(self.size.destinations_down())
     }
-    /// Datagrams a second about leases, duties wanted and signs of life, at one forwarder.
-    fn control_messages(&self) -> f64 {
-        // Duties of one member go in one message.
-        let members_told = self.members() * -(-self.wanted() / self.members()).exp_m1();
-        let wants = 2.0 * members_told;
-        let leases = 2.0 * VOTERS;
-        let signs = 2.0;
-        (wants + leases + signs) / RENEW_S
+    /// Datagrams per second about leases, wanted duties and heartbeats, at one forwarder.
+    fn control_messages_per_s(&self) -> f64 {
+        // The wanted duties of one member go in one message.
+        let contacted_members = self.members() * -(-self.wanted_duties() / self.members()).exp_m1();
+        let wanted = 2.0 * contacted_members;
+        let leases = 2.0 * VOTER_COUNT;
+        let heartbeats = 2.0;
+        (wanted + leases + heartbeats) / RENEW_INTERVAL_S
     }
     fn members(&self) -> f64 {
         self.size.forwarders
     }
 }
 
-/// Who pays.
+/// The part of the system that bears a cost.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Role {
     Forwarder,
@@ -113,6 +122,7 @@
 }
 
 impl Role {
+    /// The name on the page.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -130,30 +140,33 @@
 #[derive(Clone, Debug)]
 pub struct Row {
     pub role: Role,
-    pub what: &'static str,
+    /// The text of the column "What".
+    pub label: &'static str,
     pub quantity: Quantity,
-    /// How many there are of what costs.
+    /// The number of items that cause the cost.
     pub count: String,
     pub figure: Figure,
     pub budget: Option<f64>,
-    /// The slope and its report; none for a sum.
+    /// The slope and the name of its report; `None` for a sum or an estimate.
     pub slope: Option<(Cost, String)>,
-    /// Crate and type, where no slope names them.
+    /// The crate and type that incur the cost, for a row without a slope.
     pub mechanism: &'static str,
 }
 
 impl Row {
+    /// The amount compared with the budget, if the row has a budget.
     #[must_use]
-    pub fn verdict(&self) -> Option<Verdict> {
-        self.budget.map(|budget| Verdict::of(self.figure.amount, budget))
+    pub fn budget_check(&self) -> Option<BudgetCheck> {
+        self.budget.map(|budget| BudgetCheck::of(self.figure.amount, budget))
     }
+    /// The crate and type that incur the cost.
     #[must_use]
     pub fn mechanism(&self) -> &'static str {
         self.slope.as_ref().map_or(self.mechanism, |(cost, _)| cost.mechanism())
     }
 }
 
-/// What a forwarder may spend, and none for what has no budget of its own.
+/// The budget of a forwarder, or `None` for a quantity without a budget of its own.
 fn budget(quantity: Quantity) -> Option<f64> {
     match quantity {
         Quantity::Memory => Some(BUDGET.memory_bytes),
@@ -164,168 +177,233 @@
     }
 }
 
-/// Puts the rows of one deployment together.
+/// Collects the rows of one deployment.
 struct Builder<'a> {
     reports: &'a Reports,
     rows: Vec<Row>,
 }
 
 impl Builder<'_> {
-    /// The cost of so many, so many times.
+    /// Adds the cost of a number of items, multiplied by a factor.
     fn add(
-        &mut self, role: Role, what: &'static str, quantity: Quantity, cost: Cost, (count, times): (f64, f64),
+        &mut self, role: Role, label: &'static str, quantity: Quantity, cost: Cost,
+        (count, factor): (f64, f64),
     ) {
-        let (figure, report) = self.reports.cost(cost, count);
-        let shown = if times == 1.0 { String::new() } else { format!(" x {}", digits(times)) };
-        let count = format!("{}{shown}", digits(count));
+        let (figure, report) = self.reports.cost_at(cost, count);
+        let factor_text = if factor == 1.0 { String::new() } else { format!(" x {}", format_number(factor)) };
+        let count = format!("{}{factor_text}", format_number(count));
         let report = report.to_owned();
-        self.push((role, what, quantity), cost, (figure, report), (count, times));
+        self.push((role, label, quantity), cost, (figure, report), (count, factor));
     }
 
-    /// The cost of one, so many times.
-    fn add_each(&mut self, role: Role, what: &'static str, quantity: Quantity, cost: Cost, times: f64) {
-        let (figure, report) = self.reports.each(cost);
+    /// Adds the cost of one item, multiplied by a factor.
+    fn add_per_item(&mut self, role: Role, label: &'static str, quantity: Quantity, cost: Cost, factor: f64) {
+        let (figure, report) = self.reports.unit_cost(cost);
         let report = report.to_owned();
-        self.push((role, what, quantity), cost, (figure, report), (digits(times), times));
+        self.push((role, label, quantity), cost, (figure, report), (format_number(factor), factor));
     }
 
     fn push(
-        &mut self, (role, what, quantity): (Role, &'static str, Quantity), cost: Cost,
-        (figure, report): (Figure, String), (count, times): (String, f64),
+        &mut self, (role, label, quantity): (Role, &'static str, Quantity), cost: Cost,
+        (figure, report): (Figure, String), (count, factor): (String, f64),
     ) {
-        let figure = Figure { amount: figure.amount * times, ..figure };
+        let figure = Figure { amount: figure.amount * factor, ..figure };
         let (budget, slope) = (budget(quantity), Some((cost, report)));
-        self.rows.push(Row { role, what, quantity, count, figure, budget, slope, mechanism: "" });
+        self.rows.push(Row { role, label, quantity, count, figure, budget, slope, mechanism: "" });
     }
 
-    /// A figure that no slope gives.
-    fn estimate(
-        &mut self, role: Role, what: &'static str, quantity: Quantity, count: f64,
+    /// Adds a figure that is computed without a slope.
+    fn add_estimate(
+        &mut self, role: Role, label: &'static str, quantity: Quantity, count: f64,
         figure: (f64, Option<f64>), mechanism: &'static str,
     ) {
         let (amount, budget) = figure;
         let figure = Figure { amount, basis: Basis::Estimate };
-        let (count, slope) = (digits(count), None);
-        self.rows.push(Row { role, what, quantity, count, figure, budget, slope, mechanism });
+        let (count, slope) = (format_number(count), None);
+        self.rows.push(Row { role, label, quantity, count, figure, budget, slope, mechanism });
     }
 
-    /// Messages a second, which nothing bounds by itself.
-    fn messages(&mut self, role: Role, what: &'static str, per_s: f64, mechanism: &'static str) {
-        self.estimate(role, what, Quantity::Messages, per_s, (per_s, None), mechanism);
+    /// Adds a rate of messages. It has no budget of its own.
+    fn add_message_rate(&mut self, role: Role, label: &'static str, per_s: f64, mechanism: &'static str) {
+        self.add_estimate(role, label, Quantity::Messages, per_s, (per_s, None), mechanism);
     }
 
-    /// The sum of a role's rows of a quantity, which is as good as the worst of them.
-    fn sum(&mut self, role: Role, what: &'static str, quantity: Quantity) {
+    /// Adds the sum of a role's rows of a quantity. Its basis is the least reliable basis of these rows.
+    fn add_sum(&mut self, role: Role, label: &'static str, quantity: Quantity) {
         let parts = self.rows.iter().filter(|r| r.role == role && r.quantity == quantity);
         let amount = parts.clone().map(|r| r.figure.amount).sum();
         let basis = parts.map(|r| r.figure.basis).max().unwrap_or(Basis::Estimate);
         let (figure, count, slope) = (Figure { amount, basis }, String::new(), None);
         let mechanism = "all of the above";
         let budget = budget(quantity);
-        self.rows.push(Row { role, what, quantity, count, figure, budget, slope, mechanism });
+        self.rows.push(Row { role, label, quantity, count, figure, budget, slope, mechanism });
     }
 
-    fn forwarder(&mut self, d: &Deployment) {
+    /// Adds the rows of a forwarder.
+    fn add_forwarder(&mut self, deployment: &Deployment) {
         use Quantity::{Delay, Memory, Processor, Traffic};
         let role = Role::Forwarder;
-        self.add(role, "destinations listed", Memory, Cost::ListedMemory, (d.destinations, 1.0));
-        self.add(role, "destinations in use", Memory, Cost::ActiveMemory, (d.active(), 1.0));
-        self.add(role, "destinations down that it has met", Memory, Cost::DownMemory, (d.known_down(), 1.0));
-        self.add(role, "destinations remembered at rest", Memory, Cost::RestingMemory, (d.resting(), 1.0));
-        self.add(role, "duties wanted", Memory, Cost::WantedMemory, (d.wanted(), 1.0));
-        self.add(role, "members watched", Memory, Cost::MemberMemory, (d.members(), 1.0));
-        self.sum(role, "memory for control", Memory);
-        self.add_each(role, "list changes", Processor, Cost::WatchAnswerCpu, d.changes_per_s());
-        let restarts = (d.destinations, d.restarts_per_s());
-        self.add(role, "whole lists after restarts, over a day", Processor, Cost::WholeListCpu, restarts);
-        self.add(role, "looking for what is doubted", Processor, Cost::ActiveLookCpu, (d.active(), 1.0));
-        let wanted = (d.members(), d.wanted());
-        self.add(role, "whose the wanted duties are", Processor, Cost::WantedMemberCpu, wanted);
-        self.add(role, "leases held", Processor, Cost::HolderLeaseCpu, (d.leases(), 1.0));
-        self.add(role, "members watched", Processor, Cost::MemberCpu, (d.members(), 1.0));
-        self.sum(role, "processor time for control", Processor);
-        self.add_each(role, "list changes", Traffic, Cost::WatchAnswerBytes, d.changes_per_s());
-        self.add(role, "whole lists after restarts, over a day", Traffic, Cost::WholeListBytes, restarts);
-        self.add(role, "duties wanted, told and heard", Traffic, Cost::WantedBytes, (d.wanted(), 2.0));
-        self.add(role, "leases held", Traffic, Cost::HolderLeaseBytes, (d.leases(), 1.0));
-        self.add(role, "members watched, sent and received", Traffic, Cost::MemberBytes, (d.members(), 2.0));
-        let signs = 2.0 / RENEW_S;
-        self.add_each(role, "signs of life of coordinator and relay", Traffic, Cost::TellAllBytes, signs);
-        self.sum(role, "bytes for control", Traffic);
-        self.messages(role, "for control, gossip left out", d.control_messages(), "sharing::Peers");
-        let restart = (d.destinations, 1.0 / BUDGET.bytes_per_s);
-        self.add(role, "a list in force after a restart, at 9 KB/s", Delay, Cost::WholeListBytes, restart);
-        let meeting = (d.meeting_s(), Some(METER_MEMORY_S));
+        self.add(role, "destinations listed", Memory, Cost::ListedMemory, (deployment.destinations, 1.0));
+        self.add(role, "destinations in use", Memory, Cost::ActiveMemory, (deployment.active(), 1.0));
+        self.add(
+            role,
+            "destinations down that it has met",
+            Memory,
+            Cost::DownMemory,
+            (deployment.known_down(), 1.0),
+        );
+        self.add(
+            role,
+            "destinations remembered at rest",
+            Memory,
+            Cost::RetainedHealthMemory,
+            (deployment.retained(), 1.0),
+        );
+        self.add(role, "duties wanted", Memory, Cost::WantedDutyMemory, (deployment.wanted_duties(), 1.0));
+        self.add(role, "members watched", Memory, Cost::MemberMemory, (deployment.members(), 1.0));
+        self.add_sum(role, "memory for control", Memory);
+        self.add_per_item(role, "list changes", Processor, Cost::WatchAnswerCpu, deployment.changes_per_s());
+        let restarts = (deployment.destinations, deployment.restarts_per_s());
+        self.add(role, "whole lists after restarts, over a day", Processor, Cost::CompleteListCpu, restarts);
+        self.add(
+            role,
+            "looking for what is doubted",
+            Processor,
+            Cost::UnconfirmedScanCpu,
+            (deployment.active(), 1.0),
+        );
+        let wanted = (deployment.members(), deployment.wanted_duties());
+        self.add(role, "whose the wanted duties are", Processor, Cost::WantedDutyMemberCpu, wanted);
+        self.add(role, "leases held", Processor, Cost::HolderLeaseCpu, (deployment.leases_held(), 1.0));
+        self.add(role, "members watched", Processor, Cost::MemberCpu, (deployment.members(), 1.0));
+        self.add_sum(role, "processor time for control", Processor);
+        self.add_per_item(role, "list changes", Traffic, Cost::WatchAnswerBytes, deployment.changes_per_s());
+        self.add(role, "whole lists after restarts, over a day", Traffic, Cost::CompleteListBytes, restarts);
+        self.add(
+            role,
+            "duties wanted, told and heard",
+            Traffic,
+            Cost::WantedDutyBytes,
+            (deployment.wanted_duties(), 2.0),
+        );
+        self.add(role, "leases held", Traffic, Cost::HolderLeaseBytes, (deployment.leases_held(), 1.0));
+        self.add(
+            role,
+            "members watched, sent and received",
+            Traffic,
+            Cost::MemberBytes,
+            (deployment.members(), 2.0),
+        );
+        let heartbeats = 2.0 / RENEW_INTERVAL_S;
+        self.add_per_item(
+            role,
+            "signs of life of coordinator and relay",
+            Traffic,
+            Cost::BroadcastBytes,
+            heartbeats,
+        );
+        self.add_sum(role, "bytes for control", Traffic);
+        self.add_message_rate(
+            role,
+            "for control, gossip left out",
+            deployment.control_messages_per_s(),
+            "sharing::Peers",
+        );
+        let after_restart = (deployment.destinations, 1.0 / BUDGET.bytes_per_s);
+        self.add(
+            role,
+            "a list in force after a restart, at 9 KB/s",
+            Delay,
+            Cost::CompleteListBytes,
+            after_restart,
+        );
+        let message_interval = (deployment.message_interval_s(), Some(RATE_MEMORY_MAX_S));
+        // The page still calls the constant by its former name; it is `RATE_MEMORY_MAX_S` today.
         let mechanism = "onyxrock::PolicyEngine (MEMORY_MOST_S)";
-        self.estimate(
+        self.add_estimate(
             role,
             "between two messages for one destination",
             Delay,
-            d.destinations,
-            meeting,
+            deployment.destinations,
+            message_interval,
             mechanism,
         );
     }
 
-    fn voter(&mut self, d: &Deployment) {
+    /// Adds the rows of a voter.
+    fn add_voter(&mut self, deployment: &Deployment) {
         use Quantity::{Memory, Processor, Traffic};
         let role = Role::Voter;
-        let leases = (d.size.destinations_down(), 1.0);
+        let leases = (deployment.size.destinations_down(), 1.0);
         self.add(role, "leases promised", Memory, Cost::VoterLeaseMemory, leases);
         self.add(role, "leases promised", Processor, Cost::VoterLeaseCpu, leases);
         self.add(role, "leases promised", Traffic, Cost::VoterLeaseBytes, leases);
-        self.messages(role, "questions and answers", d.holders() * 2.0 / RENEW_S, "duties::Message");
+        self.add_message_rate(
+            role,
+            "questions and answers",
+            deployment.holders() * 2.0 / RENEW_INTERVAL_S,
+            "duties::Message",
+        );
     }
 
-    fn tellers(&mut self, d: &Deployment) {
+    /// Adds the rows of the roles that send to all members or serve all members.
+    fn add_broadcasters(&mut self, deployment: &Deployment) {
         use Quantity::{Memory, Processor, Traffic};
-        let signs = (d.members(), 1.0 / RENEW_S);
-        let changes = (d.members(), d.size.changes_per_s());
+        let heartbeats = (deployment.members(), 1.0 / RENEW_INTERVAL_S);
+        let changes = (deployment.members(), deployment.size.changes_per_s());
         for role in [Role::ListRelay, Role::Coordinator] {
-            self.add(role, "members that it tells", Memory, Cost::MemberMemory, (d.members(), 1.0));
-            self.add(role, "signs of life to all", Processor, Cost::TellAllCpu, signs);
-            self.add(role, "signs of life to all", Traffic, Cost::TellAllBytes, signs);
-            self.messages(role, "signs of life to all", d.members() / RENEW_S, "sharing::Peers");
+            self.add(role, "members that it tells", Memory, Cost::MemberMemory, (deployment.members(), 1.0));
+            self.add(role, "signs of life to all", Processor, Cost::BroadcastCpu, heartbeats);
+            self.add(role, "signs of life to all", Traffic, Cost::BroadcastBytes, heartbeats);
+            self.add_message_rate(
+                role,
+                "signs of life to all",
+                deployment.members() / RENEW_INTERVAL_S,
+                "sharing::Peers",
+            );
         }
         let role = Role::ListRelay;
-        self.add(role, "each list change to all", Processor, Cost::TellAllCpu, changes);
-        let change = self.reports.each(Cost::ListChangeBytes).0.amount;
-        let told = self.reports.each(Cost::TellAllBytes).0.amount;
-        let bytes = (change + told) * changes.0 * changes.1;
+        self.add(role, "each list change to all", Processor, Cost::BroadcastCpu, changes);
+        let change = self.reports.unit_cost(Cost::ListChangeBytes).0.amount;
+        let message = self.reports.unit_cost(Cost::BroadcastBytes).0.amount;
+        let bytes = (change + message) * changes.0 * changes.1;
         let mechanism = "sharing::Peers";
         let traffic = budget(Traffic);
-        self.estimate(role, "each list change to all", Traffic, changes.0, (bytes, traffic), mechanism);
+        self.add_estimate(role, "each list change to all", Traffic, changes.0, (bytes, traffic), mechanism);
         let role = Role::ListSource;
-        let answers = d.size.changes_per_s() * d.members() * d.destinations / d.size.destinations;
-        let what = "answers to watches, where each asks for itself";
-        self.add_each(role, what, Traffic, Cost::WatchAnswerBytes, answers);
-        self.messages(role, "answers to watches", answers, "config::list::Reader");
-        let restarts = (d.destinations, d.size.restarts_per_day / SECONDS_PER_DAY);
-        self.add(role, "whole lists after restarts, over a day", Traffic, Cost::WholeListBytes, restarts);
-        // The source is no forwarder: it has no budget that was named.
+        let answers = deployment.size.changes_per_s() * deployment.members() * deployment.destinations
+            / deployment.size.destinations;
+        let label = "answers to watches, where each asks for itself";
+        self.add_per_item(role, label, Traffic, Cost::WatchAnswerBytes, answers);
+        self.add_message_rate(role, "answers to watches", answers, "config::list::Reader");
+        let restarts = (deployment.destinations, deployment.size.restarts_per_day / SECONDS_PER_DAY);
+        self.add(role, "whole lists after restarts, over a day", Traffic, Cost::CompleteListBytes, restarts);
+        // The budget is that of a forwarder. The list source is not a forwarder, and no budget is defined for
+        // it.
         let source = self.rows.iter_mut().filter(|r| r.role == Role::ListSource);
         source.for_each(|r| r.budget = None);
     }
 
-    fn backlog(&mut self, d: &Deployment) {
+    /// Adds the rows of the backlog of one forwarder.
+    fn add_backlog(&mut self, deployment: &Deployment) {
         let role = Role::BacklogHolder;
-        let messages = d.size.backlog_per_forwarder();
+        let messages = deployment.size.backlog_per_forwarder();
         self.add(role, "messages owed", Quantity::Memory, Cost::BacklogMemory, (messages, 1.0));
-        let events = d.size.events_per_forwarder();
-        self.messages(role, "events taken on", events, "core::Ledger");
+        let events = deployment.size.events_per_forwarder();
+        self.add_message_rate(role, "events taken on", events, "core::Ledger");
         self.add(role, "messages owed", Quantity::Disk, Cost::BacklogDisk, (messages, 1.0));
         let read_back = (messages, 1e-6);
         self.add(role, "reading them back at a start", Quantity::Delay, Cost::BacklogRestartCpu, read_back);
     }
 }
 
-/// All rows of one deployment. Those of two deployments stand in the same order.
+/// All rows of one deployment. The order of the rows is the same for every deployment.
 #[must_use]
 pub fn rows(reports: &Reports, deployment: &Deployment) -> Vec<Row> {
     let mut builder = Builder { reports, rows: Vec::new() };
-    builder.forwarder(deployment);
-    builder.voter(deployment);
-    builder.tellers(deployment);
-    builder.backlog(deployment);
+    builder.add_forwarder(deployment);
+    builder.add_voter(deployment);
+    builder.add_broadcasters(deployment);
+    builder.add_backlog(deployment);
     builder.rows
 }
--- a/lab/src/capacity/table.rs
+++ b/lab/src/capacity/table.rs
@@ -1,71 +1,76 @@
-//! The table as the page shows it.
+//! Renders the generated part of the page.
 
 use super::cost::{Cost, Slope};
-use super::figure::{Quantity, digits};
+use super::figure::{Quantity, format_number};
 use super::fit::Shape;
-use super::reports::{Measured, Reports};
-use super::roles::{Deployment, Role, Row, VOTERS, rows};
+use super::reports::{Reports, SlopesReport};
+use super::roles::{Deployment, Role, Row, VOTER_COUNT, rows};
 use std::fmt::Write;
 
-/// Microseconds of a whole core in a second.
+/// Microseconds of processor time that one core provides per second.
 const CORE_US_PER_S: f64 = 1e6;
 
-/// The roles at the two-year size, the slopes behind them, and what the scale runs say.
+/// The costs of the roles at the two-year size in both deployments, the slopes that they are computed from,
+/// and the claims of the scale runs.
 #[must_use]
-pub fn render(reports: &Reports, flat: &Deployment, owned: &Deployment) -> String {
-    let (today, other) = (rows(reports, flat), rows(reports, owned));
+pub fn render(reports: &Reports, unpartitioned: &Deployment, partitioned: &Deployment) -> String {
+    let (today, other) = (rows(reports, unpartitioned), rows(reports, partitioned));
     let mut out = String::new();
-    let _ = writeln!(out, "{}\n", largest(&today, "of today's design"));
-    let listed = digits(owned.destinations);
+    let _ = writeln!(out, "{}\n", largest_overrun(&today, "of today's design"));
+    let listed = format_number(partitioned.destinations);
     let head = "| Role | What | Slope, report | Basis | Mechanism | Count | Today | Against the budget |";
     let _ = writeln!(out, "{head} With {listed} destinations each | Against the budget |");
     let _ = writeln!(out, "|{}", "---|".repeat(10));
     for (row, other) in today.iter().zip(&other) {
-        let _ = writeln!(out, "{}", line(row, other));
+        let _ = writeln!(out, "{}", role_line(row, other));
     }
-    let _ = writeln!(out, "\n{}", control_machines(&today, flat));
+    let _ = writeln!(out, "\n{}", control_machines(&today, unpartitioned));
     let _ = writeln!(out, "\nSlopes:\n");
     let _ = writeln!(out, "| Slope | Report | Sizes | Cost of one | Constant | Residual | Shape |");
     let _ = writeln!(out, "|{}", "---|".repeat(7));
     for cost in Cost::ALL {
-        for Measured { name, slopes } in &reports.slopes {
+        for SlopesReport { name, slopes } in &reports.slopes {
             if let Some(slope) = slopes.slopes.get(cost) {
                 let _ = writeln!(out, "{}", slope_line(*cost, name, slope));
             }
         }
     }
-    let _ = writeln!(out, "\nScale runs:\n\n{}", scale(reports));
+    let _ = writeln!(out, "\nScale runs:\n\n{}", scale_claims(reports));
     out
 }
 
+/// The amount with its unit.
 fn amount(row: &Row) -> String {
-    row.quantity.show(row.figure.amount)
+    row.quantity.format(row.figure.amount)
 }
 
-fn verdict(row: &Row) -> String {
-    row.verdict().map_or_else(|| "no budget".to_owned(), |v| v.to_string())
+/// The comparison of the amount with the budget.
+fn budget_check(row: &Row) -> String {
+    row.budget_check().map_or_else(|| "no budget".to_owned(), |c| c.to_string())
 }
 
-fn line(row: &Row, other: &Row) -> String {
+/// One line of the table of roles: the row in the first deployment, and the amount in the second.
+fn role_line(row: &Row, other: &Row) -> String {
     let slope = row.slope.as_ref().map_or("-".to_owned(), |(c, report)| format!("`{}`, {report}", c.name()));
-    let (role, what, basis) = (row.role.name(), row.what, row.figure.basis);
+    let (role, label, basis) = (row.role.name(), row.label, row.figure.basis);
     let (count, mechanism) = (&row.count, row.mechanism());
-    let today = format!("{} | {}", amount(row), verdict(row));
-    let other = format!("{} | {}", amount(other), verdict(other));
-    format!("| {role} | {what} | {slope} | {basis} | {mechanism} | {count} | {today} | {other} |")
+    let today = format!("{} | {}", amount(row), budget_check(row));
+    let other = format!("{} | {}", amount(other), budget_check(other));
+    format!("| {role} | {label} | {slope} | {basis} | {mechanism} | {count} | {today} | {other} |")
 }
 
-/// The row that fails by the largest factor, in one line.
-fn largest(rows: &[Row], of: &str) -> String {
+/// One line about the row that exceeds its budget by the largest factor.
+fn largest_overrun(rows: &[Row], of: &str) -> String {
     let factor = |r: &Row| r.budget.map_or(0.0, |b| r.figure.amount / b);
     let worst = rows.iter().max_by(|a, b| factor(a).total_cmp(&factor(b)));
     worst.map_or_else(String::new, |r| {
-        let (role, what, by) = (r.role.name(), r.what, digits(factor(r)));
-        format!("Largest failing factor {of}: {role}, {what}: {}, {by} times its budget.", amount(r))
+        let (role, label, by) = (r.role.name(), r.label, format_number(factor(r)));
+        format!("Largest failing factor {of}: {role}, {label}: {}, {by} times its budget.", amount(r))
     })
 }
 
-/// What the roles that serve all would take of the machines that are set aside for control, at a core for a process.
+/// The cores that the roles which serve all forwarders would need, beside the machines reserved for control.
+/// A process of these roles runs on one core.
 fn control_machines(rows: &[Row], deployment: &Deployment) -> String {
     let cores = |role: Role| {
         let of_role = rows.iter().filter(|r| r.role == role && r.quantity == Quantity::Processor);
@@ -73,47 +78,49 @@
     };
     let voter = cores(Role::Voter);
     let others = cores(Role::ListRelay) + cores(Role::Coordinator);
-    let all = voter * VOTERS + others;
-    let (each, machines) = (digits(voter), digits(deployment.size.machines_for_control));
+    let all = voter * VOTER_COUNT + others;
+    let (voter_cores, machines) = (format_number(voter), format_number(deployment.size.control_machines));
     format!(
-        "Set aside for control: {machines} machines. A voter would take {each} cores of one, and a process runs on one; \
-         {VOTERS} voters, the list relay and the coordinator together {} cores.",
-        digits(all)
+        "Set aside for control: {machines} machines. A voter would take {voter_cores} cores of one, and a \
+         process runs on one; {VOTER_COUNT} voters, the list relay and the coordinator together {} cores.",
+        format_number(all)
     )
 }
 
+/// One line of the table of slopes.
 fn slope_line(cost: Cost, report: &str, slope: &Slope) -> String {
-    let (unit, per, fit) = (&slope.unit, &slope.per, &slope.fit);
+    let (unit, item, fit) = (&slope.unit, &slope.item, &slope.fit);
     let [first, .., last] = fit.points.as_slice() else { return String::new() };
     let sizes = format!("{} to {}, {} points", first.x, last.x, fit.points.len());
-    let (each, constant, shape) = match &fit.shape {
-        // What the solver leaves of a constant that is none.
-        Shape::Straight { slope, intercept } if intercept.abs() < 1e-6 => {
+    let (unit_cost, constant, shape) = match &fit.shape {
+        // The constant is zero but for the rounding error of the solver.
+        Shape::Linear { slope, intercept } if intercept.abs() < 1e-6 => {
             (*slope, "0".to_owned(), "straight".to_owned())
         }
-        Shape::Straight { slope, intercept } => (*slope, digits(*intercept), "straight".to_owned()),
-        Shape::Bent { why } => {
-            (fit.each_at_largest(), "-".to_owned(), format!("bent: {why}; at the largest size"))
+        Shape::Linear { slope, intercept } => (*slope, format_number(*intercept), "straight".to_owned()),
+        Shape::Nonlinear { reason } => {
+            (fit.unit_cost_at_largest(), "-".to_owned(), format!("bent: {reason}; at the largest size"))
         }
     };
-    let each = format!("{} {unit} for each {per}", digits(each));
+    let unit_cost = format!("{} {unit} for each {item}", format_number(unit_cost));
     format!(
-        "| `{}` | {report} | {sizes} | {each} | {constant} | {:.3} | {shape} |",
+        "| `{}` | {report} | {sizes} | {unit_cost} | {constant} | {:.3} | {shape} |",
         cost.name(),
         fit.residual
     )
 }
 
-fn scale(reports: &Reports) -> String {
-    if reports.scale.is_empty() {
+/// The table of the claims of the scale runs.
+fn scale_claims(reports: &Reports) -> String {
+    if reports.scale_claims.is_empty() {
         return "No report of a scale run is there: not measured.".to_owned();
     }
     let mut out = "| Report | Claim | Measured | Bound | |\n|---|---|---|---|---|".to_owned();
-    for (report, claims) in &reports.scale {
+    for (report, claims) in &reports.scale_claims {
         for c in claims {
-            let value = c.value.map_or("not measured".to_owned(), digits);
+            let value = c.value.map_or("not measured".to_owned(), format_number);
             let held = if c.held { "held" } else { "**not held**" };
-            let (name, sense, bound, unit) = (&c.name, &c.sense, digits(c.bound), &c.unit);
+            let (name, sense, bound, unit) = (&c.name, &c.sense, format_number(c.bound), &c.unit);
             let _ = write!(out, "\n| {report} | {name} | {value} | {sense} {bound} {unit} | {held} |");
         }
     }
--- a/lab/src/experiments/slopes/wire.rs
+++ b/lab/src/experiments/slopes/wire.rs
@@ -1,4 +1,4 @@
-//! Datagrams over a loopback socket, and the entries of a list, as they are on the wire.
+//! Datagrams over a loopback socket, and the entries of an endpoint list in the format of discovery.
 
 use crate::testbed::discovery::entry_json;
 use onyxrock::core::NameIndex;
@@ -10,96 +10,103 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
 
-/// Headers of IP and UDP, which count as bytes sent.
-pub const HEADERS: usize = 28;
+/// Bytes of the IP and UDP headers, which count as bytes sent.
+pub const HEADER_BYTES: usize = 28;
 
-/// A datagram that has not come by then is lost.
-const LOST: Duration = Duration::from_secs(1);
+/// A datagram that does not arrive within this time is lost.
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A socket that is its own other end: what is sent comes back, and costs one call to send and one to receive.
-pub struct Loop {
+/// A socket that is connected to itself: each datagram costs one system call to send and one to receive.
+pub struct LoopbackSocket {
     socket: UdpSocket,
-    bytes: Vec<u8>,
-    /// Datagrams and bytes, headers included, that went through it.
+    buffer: Vec<u8>,
+    /// Number of datagrams that were sent.
     pub datagrams: usize,
-    pub carried: usize,
+    /// Number of bytes that were sent, headers included.
+    pub bytes_sent: usize,
 }
 
-impl Loop {
-    pub fn new() -> Result<Loop, String> {
+impl LoopbackSocket {
+    pub fn new() -> Result<LoopbackSocket, String> {
         let socket = UdpSocket::bind(("127.0.0.1", 0)).map_err(|e| e.to_string())?;
         let own = socket.local_addr().map_err(|e| e.to_string())?;
         socket.connect(own).map_err(|e| e.to_string())?;
-        socket.set_read_timeout(Some(LOST)).map_err(|e| e.to_string())?;
-        Ok(Loop { socket, bytes: vec![0; 2048], datagrams: 0, carried: 0 })
+        socket.set_read_timeout(Some(RECEIVE_TIMEOUT)).map_err(|e| e.to_string())?;
+        Ok(LoopbackSocket { socket, buffer: vec![0; 2048], datagrams: 0, bytes_sent: 0 })
     }
 
-    /// Sends a datagram and receives it.
-    pub fn carry(&mut self, datagram: &[u8]) -> Vec<u8> {
+    /// Sends a datagram and receives it. The result is empty if the datagram was lost.
+    pub fn transfer(&mut self, datagram: &[u8]) -> Vec<u8> {
         self.datagrams += 1;
-        self.carried += datagram.len() + HEADERS;
+        self.bytes_sent += datagram.len() + HEADER_BYTES;
         let sent = self.socket.send(datagram);
-        let received = self.socket.recv(&mut self.bytes);
+        let received = self.socket.recv(&mut self.buffer);
         match (sent, received) {
-            (Ok(_), Ok(n)) => self.bytes[..n].to_vec(),
+            (Ok(_), Ok(length)) => self.buffer[..length].to_vec(),
             _ => Vec::new(),
         }
     }
 }
 
-/// Keys that all members share.
+/// The keys that all members share.
 pub fn keys() -> Keys {
-    Keys::new(1, [Key { id: 1, secret: [7; 32] }]).expect("the key to sign with is there")
+    Keys::new(1, [Key { id: 1, secret: [7; 32] }]).expect("the signing key is among the keys")
 }
 
-/// A message about leases, sealed for a member.
-pub fn sealed(seal: &mut Authenticator, to: Member, message: &Message) -> Vec<u8> {
+/// A signed datagram with a message about leases, for one member.
+pub fn sign_message(authenticator: &mut Authenticator, to: Member, message: &Message) -> Vec<u8> {
     let bytes = postcard::to_allocvec(message).unwrap_or_default();
-    seal.sign_datagram(to, Body::Payload(&bytes)).unwrap_or_default()
+    authenticator.sign_datagram(to, Body::Payload(&bytes)).unwrap_or_default()
 }
 
-/// The message in a datagram, or the reply that its sender must have first.
-pub fn opened(
-    seal: &mut Authenticator, now: onyxrock::interface::Micros, datagram: &[u8],
+/// The message in a datagram. The error is the reply that the sender needs first, if there is one.
+pub fn verify_message(
+    authenticator: &mut Authenticator, now: onyxrock::interface::Micros, datagram: &[u8],
 ) -> Result<Message, Option<Vec<u8>>> {
     let mut reply = None;
-    match seal.verify_datagram(now, datagram, &mut reply) {
+    match authenticator.verify_datagram(now, datagram, &mut reply) {
         Ok((_, Body::Payload(bytes))) => postcard::from_bytes(bytes).map_err(|_| None),
         Err(DropReason::Unproven | DropReason::Hello) => Err(reply.map(|(_, bytes)| bytes)),
         _ => Err(None),
     }
 }
 
-/// Names as a deployment has them.
-pub fn names() -> NameIndex {
-    let one = |name: &str| [(name.to_owned(), 0)].into();
-    NameIndex { classes: one("status"), kinds: one("club"), zones: one("floor-2"), ..NameIndex::default() }
+/// Names of classes, kinds and zones, as in the configuration of a deployment.
+pub fn name_index() -> NameIndex {
+    let single = |name: &str| [(name.to_owned(), 0)].into();
+    NameIndex {
+        classes: single("status"),
+        kinds: single("club"),
+        zones: single("floor-2"),
+        ..NameIndex::default()
+    }
 }
 
-pub fn name_of(destination: u64) -> String {
+/// The name of the only endpoint of a destination.
+pub fn endpoint_name(destination: u64) -> String {
     format!("club-endpoint-{destination:08}")
 }
 
-fn address_of(destination: u64) -> SocketAddr {
+fn endpoint_address(destination: u64) -> SocketAddr {
     SocketAddr::from(((destination as u32).to_be_bytes(), 7070))
 }
 
-/// The entry of a destination in a list, as discovery tells it.
+/// The list entry of a destination's endpoint, in the format of discovery.
 pub fn entry_text(destination: u64, state: &str, weight: f64) -> String {
-    entry_json(&name_of(destination), address_of(destination), destination, state, weight)
+    entry_json(&endpoint_name(destination), endpoint_address(destination), destination, state, weight)
 }
 
-/// A list, or the changes since an earlier one, as discovery tells it.
-pub fn list_text(generation: u64, whole: bool, entries: &[String]) -> String {
+/// A complete list, or the changes since an earlier generation, in the format of discovery.
+pub fn list_text(generation: u64, complete: bool, entries: &[String]) -> String {
     let entries = entries.join(",");
-    format!("{{\"generation\":{generation},\"reset\":{whole},\"instances\":[{entries}]}}")
+    format!("{{\"generation\":{generation},\"reset\":{complete},\"instances\":[{entries}]}}")
 }
 
-/// The same entry as the directory takes it, with a name that the caller holds.
-pub fn entry_of(name: &str, destination: u64) -> Endpoint<'_> {
+/// The list entry of a destination's endpoint as the directory takes it. The caller owns the name.
+pub fn directory_entry(name: &str, destination: u64) -> Endpoint<'_> {
     Endpoint {
         name,
-        address: address_of(destination),
+        address: endpoint_address(destination),
         zone: "floor-2",
         kind: 0,
         destination,
@@ -108,7 +115,7 @@
     }
 }
 
-/// An entry that was read, for the directory.
-pub fn as_endpoint(listed: &onyxrock_config::list::ListedEndpoint) -> Endpoint<'_> {
+/// A parsed list entry as the directory takes it.
+pub fn parsed_entry(listed: &onyxrock_config::list::ListedEndpoint) -> Endpoint<'_> {
     roster_endpoint(listed)
 }
