--- a/lab/src/capacity/cost.rs
+++ b/lab/src/capacity/cost.rs
@@ -23,6 +23,7 @@
         }
 
         impl Cost {
+            /// All costs, in the order of the page.
             pub const ALL: &[Cost] = &[$(Cost::$name),*];
 
             /// The item whose cost this is; the size is a number of such items.
@@ -30,6 +31,7 @@
             pub fn item(self) -> &'static str {
                 match self { $(Cost::$name => $item),* }
             }
+            /// The unit of the cost.
             #[must_use]
             pub fn unit(self) -> &'static str {
                 match self { $(Cost::$name => $unit),* }
@@ -122,6 +124,7 @@
     /// The item whose cost this is; the size is a number of such items.
     #[serde(rename = "per")]
     pub item: String,
+    /// The unit of the cost.
     pub unit: String,
     /// The crates and types that incur the cost.
     pub mechanism: String,
@@ -130,6 +133,7 @@
 }
 
 impl Slope {
+    /// Combines a cost's texts with its fit.
     #[must_use]
     pub fn new(cost: Cost, fit: Fit) -> Slope {
         let [item, unit, mechanism] = [cost.item(), cost.unit(), cost.mechanism()].map(str::to_owned);
@@ -155,11 +159,13 @@
 /// The results of the experiment: the `figures` of its report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Slopes {
+    /// [`REPORT_VERSION`] of the program that wrote the report.
     pub version: u32,
     pub seed: u64,
     /// Peak memory of the process in megabytes.
     pub peak_mb: f64,
     /// Resident bytes for each byte that was requested from the allocator, at the longest list.
     pub resident_share: f64,
+    /// The slope of every cost.
     pub slopes: BTreeMap<Cost, Slope>,
 }
--- a/lab/src/capacity/roles.rs
+++ b/lab/src/capacity/roles.rs
@@ -113,11 +113,17 @@
 /// The part of the system that bears a cost.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Role {
+    /// Any forwarder, without the additional roles below.
     Forwarder,
+    /// A member that votes on leases.
     Voter,
+    /// The member that asks discovery for the list and sends the changes to all members.
     ListRelay,
+    /// Discovery, which answers watches.
     ListSource,
+    /// The member that coordinates the fleet.
     Coordinator,
+    /// A forwarder with its share of the backlog.
     BacklogHolder,
 }
 
@@ -146,6 +152,7 @@
     /// The number of items that cause the cost.
     pub count: String,
     pub figure: Figure,
+    /// The budget in the unit of the quantity, if the row has one.
     pub budget: Option<f64>,
     /// The slope and the name of its report; `None` for a sum or an estimate.
     pub slope: Option<(Cost, String)>,
--- a/lab/src/experiments/slopes/mod.rs
+++ b/lab/src/experiments/slopes/mod.rs
@@ -38,11 +38,13 @@
 
 /// The sizes and repetitions of the measurements.
 pub struct Plan {
+    /// The system size from which the largest sizes are derived.
     pub size: Size,
     pub seed: u64,
     /// Repetitions of each measurement of processor time. The smallest result counts, since other load on the
     /// machine can only add to it.
     pub repeats: u32,
+    /// Whether the short form is run, with smaller sizes.
     short: bool,
 }
 
@@ -89,6 +91,7 @@
 /// on chords between few points.
 const MAX_NONLINEAR_COSTS: f64 = 9.0;
 
+/// The measured points of each cost of one part of the experiment.
 type Measurements = Result<Vec<(Cost, Vec<Point>)>, String>;
 
 /// Measures all costs, and reports their slopes.
--- a/lab/src/experiments/slopes/wire.rs
+++ b/lab/src/experiments/slopes/wire.rs
@@ -27,6 +27,7 @@
 }
 
 impl LoopbackSocket {
+    /// Binds a socket on loopback and connects it to itself.
     pub fn new() -> Result<LoopbackSocket, String> {
         let socket = UdpSocket::bind(("127.0.0.1", 0)).map_err(|e| e.to_string())?;
         let own = socket.local_addr().map_err(|e| e.to_string())?;
