--- a/lab/src/daemon.rs
+++ b/lab/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Real daemons, as processes.
+//! Control of real daemons as child processes: start, signals, faults, logs and resource usage.
 
 mod operators;
 mod preload;
@@ -20,36 +20,36 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-/// Descriptors that a daemon may have, as its configuration says.
-const DESCRIPTORS: u64 = 1024;
-/// Far more than a start takes.
-const START: Duration = Duration::from_secs(10);
+/// File descriptors that a daemon may have. The same number stands as `sockets` in its configuration.
+const MAX_DESCRIPTORS: u64 = 1024;
+/// How long a process may take until it listens. A start takes far less.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// One daemon: how it is started, and its process while there is one.
+/// One daemon: its configuration, and its process while one runs.
 pub struct Daemon {
     pub name: String,
     program: PathBuf,
     folder: PathBuf,
     discovery: SocketAddr,
-    known: Value,
-    product: String,
-    /// The settings object of its configuration.
+    cached_list: Value,
+    product_config: String,
+    /// The settings object of the daemon's configuration.
     pub settings: Value,
-    /// What fails inside its process; see `preload/`.
+    /// Faults of system calls inside the daemon's process; see `preload/`.
     pub preload: Option<Preload>,
     child: Option<Child>,
-    /// The process that was there before the one beside it, while it ends.
-    old: Option<Process>,
-    /// It listens for operators.
+    /// During an upgrade, the process that was started before the newest one, until it exits.
+    previous: Option<Process>,
+    /// Whether the daemon listens for operators.
     pub operators_enabled: bool,
-    /// Where clients reach it.
+    /// Where the daemon listens for clients; `None` while it is down.
     pub client_address: Option<SocketAddr>,
-    /// Where operators reach its newest process.
+    /// Where the newest process listens for operators.
     pub newest_operator_address: Option<SocketAddr>,
-    /// Where members reach it.
+    /// Where the daemon listens for other members.
     pub member_address: Option<SocketAddr>,
-    starts: u32,
-    stopped: Cell<bool>,
+    start_count: u32,
+    paused: Cell<bool>,
 }
 
 impl Drop for Daemon {
@@ -59,29 +59,29 @@
     }
 }
 
-/// A process, and where operators reach it.
+/// A process, and where it listens for operators.
 struct Process {
     child: Child,
-    operators: Option<SocketAddr>,
+    operator_address: Option<SocketAddr>,
 }
 
-/// Where a process says that it listens.
+/// The addresses at which a process reports to listen.
 #[derive(Default)]
-struct Listening {
-    http: Option<SocketAddr>,
+struct ListenAddresses {
+    clients: Option<SocketAddr>,
     members: Option<SocketAddr>,
     operators: Option<SocketAddr>,
 }
 
-/// Which of a daemon's processes.
+/// Selects one of a daemon's processes during an upgrade.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessChoice {
     Newest,
-    /// The one before it, while it ends.
+    /// The process that was started before the newest one.
     Previous,
 }
 
-/// The daemon beside this program, as one build makes both.
+/// Returns the path of the daemon's program in the folder of this program: one build puts both there.
 pub fn default_program() -> Result<PathBuf, String> {
     let me = std::env::current_exe().map_err(|e| e.to_string())?;
     let path = me.with_file_name("onyxrock");
@@ -93,37 +93,39 @@
 }
 
 impl Daemon {
+    /// Prepares a daemon in a folder of its own under `output_dir`, without starting it. `cached_list` is the
+    /// list that a start finds from an earlier run, `product_config` the text of `product.toml`.
     pub fn new(
-        name: &str, program: &Path, out: &Path, discovery: SocketAddr, known: Value, product: String,
-        senders: usize,
+        name: &str, program: &Path, output_dir: &Path, discovery: SocketAddr, cached_list: Value,
+        product_config: String, senders: usize,
     ) -> Result<Daemon, String> {
-        let folder = out.join(name);
+        let folder = output_dir.join(name);
         std::fs::create_dir_all(folder.join("state"))
-            .map_err(|e| format!("cannot make {}: {e}", folder.display()))?;
+            .map_err(|e| format!("cannot create {}: {e}", folder.display()))?;
         let (name, program) = (name.to_owned(), program.to_owned());
-        let (child, http, members, starts) = (None, None, None, 0);
-        let stopped = Cell::new(false);
+        let (child, client_address, member_address, start_count) = (None, None, None, 0);
+        let paused = Cell::new(false);
         Ok(Daemon {
             name,
             program,
             folder,
             discovery,
-            known,
-            product,
+            cached_list,
+            product_config,
             settings: settings(senders),
             preload: None,
             child,
-            old: None,
+            previous: None,
             operators_enabled: false,
-            client_address: http,
+            client_address,
             newest_operator_address: None,
-            member_address: members,
-            starts,
-            stopped,
+            member_address,
+            start_count,
+            paused,
         })
     }
 
-    /// Starts the process and waits until it listens. Its log is `daemon.log` in its folder.
+    /// Starts the process and waits until it listens. The log goes to `daemon.log` in the daemon's folder.
     pub async fn start(&mut self) -> Result<(), String> {
         if let Some(preload) = &self.preload {
             preload.write_plan("")?;
@@ -132,20 +134,21 @@
         self.spawn("127.0.0.1:0").await
     }
 
-    /// Starts a second process beside the first, at the same address for clients, and waits until it listens.
+    /// Begins an upgrade: starts a second process at the same client address, and waits until it listens.
     pub async fn start_sibling(&mut self) -> Result<(), String> {
-        let at = self.client_address.ok_or("it does not listen")?;
+        let address = self.client_address.ok_or("the daemon does not listen for clients")?;
         self.kill_previous();
-        let child = self.child.take().ok_or("it is not there")?;
-        self.old = Some(Process { child, operators: self.newest_operator_address });
-        self.spawn(&at.to_string()).await
+        let child = self.child.take().ok_or("the daemon is not running")?;
+        self.previous = Some(Process { child, operator_address: self.newest_operator_address });
+        self.spawn(&address.to_string()).await
     }
 
+    /// Starts a process that listens for clients at `listen`, and waits until it does.
     async fn spawn(&mut self, listen: &str) -> Result<(), String> {
-        self.starts += 1;
+        self.start_count += 1;
         let (config, product) = (self.folder.join("config.json"), self.folder.join("product.toml"));
-        write(&config, &self.config().to_string())?;
-        write(&product, &self.product)?;
+        write_file(&config, &self.config().to_string())?;
+        write_file(&product, &self.product_config)?;
         let mut command = Command::new(&self.program);
         if let Some(preload) = &self.preload {
             command
@@ -165,161 +168,165 @@
             .map_err(|e| format!("cannot start {}: {e}", self.program.display()))?;
         let log = File::options().append(true).create(true).open(self.folder.join("daemon.log"));
         let log = log.map_err(|e| e.to_string())?;
-        let (tx, lines) = unbounded();
-        let err = child.stderr.take().ok_or("no log")?;
-        // The pipe must not fill, whatever the experiment is waiting for.
-        std::thread::spawn(move || follow(err, log, &tx));
+        let (line_sender, lines) = unbounded();
+        let stderr = child.stderr.take().ok_or("the daemon's stderr is not piped")?;
+        // A thread drains the pipe: it must not fill up while the experiment waits for something else.
+        std::thread::spawn(move || copy_log_lines(stderr, log, &line_sender));
         self.child = Some(child);
-        let late = async {
-            async_io::Timer::after(START).await;
-            Err("it does not listen in time".to_owned())
+        let timeout = async {
+            async_io::Timer::after(START_TIMEOUT).await;
+            Err(format!("the process did not listen within {} s", START_TIMEOUT.as_secs()))
         };
-        let started = futures_lite::future::or(listens(&lines), late).await;
-        let listening = started.map_err(|e| format!("{}: {e}", self.name))?;
+        let started = futures_lite::future::or(read_listen_addresses(&lines), timeout).await;
+        let addresses = started.map_err(|e| format!("{}: {e}", self.name))?;
         (self.client_address, self.member_address, self.newest_operator_address) =
-            (listening.http, listening.members, listening.operators);
+            (addresses.clients, addresses.members, addresses.operators);
         Ok(())
     }
 
+    /// Returns the content of `config.json`.
     fn config(&self) -> Value {
-        json!({"name": self.name, "seed": format!("{:x}", self.starts), "listen": "127.0.0.1:0",
-            "discovery": self.discovery.to_string(), "known": self.known, "settings": self.settings,
+        json!({"name": self.name, "seed": format!("{:x}", self.start_count), "listen": "127.0.0.1:0",
+            "discovery": self.discovery.to_string(), "known": self.cached_list, "settings": self.settings,
             "mgmt": self.operators_enabled.then_some("127.0.0.1:0"),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 3}})
     }
 
-    /// A new configuration that names another discovery, and SIGHUP.
+    /// Writes a configuration with another discovery address and sends SIGHUP.
     pub fn reload_with_discovery(&mut self, discovery: SocketAddr) -> Result<(), String> {
         self.discovery = discovery;
-        write(&self.folder.join("config.json"), &self.config().to_string())?;
+        write_file(&self.folder.join("config.json"), &self.config().to_string())?;
         self.signal(Signal::HUP);
         Ok(())
     }
 
-    /// A new configuration with other settings, and SIGHUP.
+    /// Writes a configuration with other settings and sends SIGHUP.
     pub fn reload_with_settings(&mut self, settings: Value) -> Result<(), String> {
         self.settings = settings;
         self.reload_with_discovery(self.discovery)
     }
 
-    /// A configuration that cannot be read, and SIGHUP.
+    /// Writes a configuration that cannot be parsed and sends SIGHUP.
     pub fn reload_invalid_config(&self) -> Result<(), String> {
-        write(&self.folder.join("config.json"), "{\"name\": ")?;
+        write_file(&self.folder.join("config.json"), "{\"name\": ")?;
         self.signal(Signal::HUP);
         Ok(())
     }
 
-    /// What a start finds as the list that it last had.
-    pub fn set_cached_list(&mut self, known: Value) {
-        self.known = known;
+    /// Sets the list that the next start finds from the run before.
+    pub fn set_cached_list(&mut self, cached_list: Value) {
+        self.cached_list = cached_list;
     }
 
-    /// From now on the system gives it no descriptor beyond this number; what it has stays open.
-    pub fn limit_descriptors(&self, most: u64) -> bool {
+    /// Limits the process to this many file descriptors from now on; open descriptors stay open. Returns
+    /// whether the limit was set.
+    pub fn limit_descriptors(&self, max: u64) -> bool {
         let pid = self.child.as_ref().map(Pid::from_child);
-        let limit = Rlimit { current: Some(most), maximum: Some(DESCRIPTORS) };
+        let limit = Rlimit { current: Some(max), maximum: Some(MAX_DESCRIPTORS) };
         pid.is_some_and(|pid| prlimit(Some(pid), Resource::Nofile, limit).is_ok())
     }
 
-    /// The limit that it has at its start.
+    /// Restores the limit of file descriptors that the process has at its start.
     pub fn restore_descriptor_limit(&self) -> bool {
-        self.limit_descriptors(DESCRIPTORS)
+        self.limit_descriptors(MAX_DESCRIPTORS)
     }
 
-    /// SIGTERM. It ends by itself.
+    /// Sends SIGTERM; the process shuts down and exits by itself.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// It has ended; its process is not there any more.
+    /// Whether the process has exited; clears its addresses if so.
     pub fn has_exited(&mut self) -> bool {
-        let ended = self.child.as_mut().is_none_or(|c| !matches!(c.try_wait(), Ok(None)));
-        if ended {
+        let exited = self.child.as_mut().is_none_or(|child| !matches!(child.try_wait(), Ok(None)));
+        if exited {
             (self.child, self.client_address, self.member_address) = (None, None, None);
         }
-        ended
+        exited
     }
 
-    /// How often it was started.
+    /// How often the daemon was started.
     pub fn start_count(&self) -> u32 {
-        self.starts
+        self.start_count
     }
 
-    /// What it kept is gone. Only while it is down.
+    /// Deletes everything that the daemon persisted. The daemon must be down.
     pub fn wipe_state(&self) -> Result<(), String> {
         let state = self.folder.join("state");
         std::fs::remove_dir_all(&state).map_err(|e| e.to_string())?;
         std::fs::create_dir_all(&state).map_err(|e| e.to_string())
     }
 
-    /// The lines of its log that hold this.
-    pub fn log_lines_containing(&self, what: &str) -> Vec<String> {
-        let text = std::fs::read_to_string(self.folder.join("daemon.log")).unwrap_or_default();
-        text.lines().filter(|l| l.contains(what)).map(str::to_owned).collect()
+    /// Returns the lines of the daemon's log that contain this text.
+    pub fn log_lines_containing(&self, text: &str) -> Vec<String> {
+        let log = std::fs::read_to_string(self.folder.join("daemon.log")).unwrap_or_default();
+        log.lines().filter(|line| line.contains(text)).map(str::to_owned).collect()
     }
 
-    /// Where operators reach one of its processes.
+    /// Where one of the daemon's processes listens for operators.
     pub fn operator_address(&self, which: ProcessChoice) -> Option<SocketAddr> {
-        let old = || self.old.as_ref().and_then(|old| old.operators);
-        if which == ProcessChoice::Newest { self.newest_operator_address } else { old() }
+        let previous = || self.previous.as_ref().and_then(|process| process.operator_address);
+        if which == ProcessChoice::Newest { self.newest_operator_address } else { previous() }
     }
 
-    /// The newest process is killed, and the one before it goes on alone.
+    /// Rolls an upgrade back: kills the newest process; the previous one continues alone.
     pub fn kill_newest(&mut self) {
-        let Some(old) = self.old.take() else { return };
-        if let Some(mut newest) = self.child.replace(old.child) {
+        let Some(previous) = self.previous.take() else { return };
+        if let Some(mut newest) = self.child.replace(previous.child) {
             let _ = newest.kill();
             let _ = newest.wait();
         }
-        self.newest_operator_address = old.operators;
+        self.newest_operator_address = previous.operator_address;
     }
 
-    /// SIGTERM to the process before the newest one.
+    /// Sends SIGTERM to the previous process.
     pub fn terminate_previous(&self) {
-        if let Some(old) = &self.old {
-            let _ = kill_process(Pid::from_child(&old.child), Signal::TERM);
+        if let Some(previous) = &self.previous {
+            let _ = kill_process(Pid::from_child(&previous.child), Signal::TERM);
         }
     }
 
-    /// That process is not there any more.
+    /// Whether the previous process has exited.
     pub fn previous_has_exited(&mut self) -> bool {
-        let ended = self.old.as_mut().is_none_or(|old| !matches!(old.child.try_wait(), Ok(None)));
-        if ended {
-            self.old = None;
+        let exited =
+            self.previous.as_mut().is_none_or(|process| !matches!(process.child.try_wait(), Ok(None)));
+        if exited {
+            self.previous = None;
         }
-        ended
+        exited
     }
 
-    /// SIGKILL to that process.
+    /// Kills the previous process with SIGKILL.
     pub fn kill_previous(&mut self) {
-        if let Some(mut old) = self.old.take() {
-            let _ = old.child.kill();
-            let _ = old.child.wait();
+        if let Some(mut previous) = self.previous.take() {
+            let _ = previous.child.kill();
+            let _ = previous.child.wait();
         }
     }
 
-    /// SIGHUP, with the configuration as it stands.
+    /// Sends SIGHUP without a change of the configuration.
     pub fn send_sighup(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// SIGKILL.
+    /// Kills the process with SIGKILL.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            self.stopped.set(false);
+            self.paused.set(false);
             let _ = child.kill();
             let _ = child.wait();
         }
         (self.client_address, self.member_address) = (None, None);
     }
 
-    /// It stands still until [`Daemon::go`].
+    /// Pauses the process with SIGSTOP until [`Daemon::resume`].
     pub fn pause(&self) {
-        self.stopped.set(true);
+        self.paused.set(true);
         self.signal(Signal::STOP);
     }
+    /// Lets a paused process continue, with SIGCONT.
     pub fn resume(&self) {
-        self.stopped.set(false);
+        self.paused.set(false);
         self.signal(Signal::CONT);
     }
     fn signal(&self, signal: Signal) {
@@ -328,15 +335,16 @@
         }
     }
 
-    /// It has ended although nobody ended it.
+    /// Whether the process has exited without a call of [`Daemon::kill`] or [`Daemon::has_exited`].
     pub fn has_crashed(&mut self) -> bool {
-        self.child.as_mut().is_some_and(|c| !matches!(c.try_wait(), Ok(None)))
+        self.child.as_mut().is_some_and(|child| !matches!(child.try_wait(), Ok(None)))
     }
 
-    /// What it shows at a path, as JSON.
+    /// Requests a path of the daemon's HTTP server and parses the response as JSON. `None` if the request
+    /// failed.
     pub async fn get_json(&self, path: &str) -> Option<Value> {
-        // One that stands still answers nothing: it is not waited for.
-        if self.stopped.get() {
+        // A paused process would not respond, so its timeout is not waited for.
+        if self.paused.get() {
             return None;
         }
         let request = format!("GET {path} HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n");
@@ -344,29 +352,29 @@
         serde_json::from_str(&body).ok().filter(|_| status == 200)
     }
 
-    /// Times that its threads have gone to sleep by themselves.
+    /// Voluntary context switches of all threads so far: how often a thread went to sleep by itself.
     pub fn voluntary_context_switches(&self) -> Option<u64> {
         let pid = self.child.as_ref()?.id();
         let mut sum = 0;
         for thread in std::fs::read_dir(format!("/proc/{pid}/task")).ok()?.flatten() {
             let status = std::fs::read_to_string(thread.path().join("status")).ok()?;
-            let line = status.lines().find_map(|l| l.strip_prefix("voluntary_ctxt_switches:"))?;
+            let line = status.lines().find_map(|line| line.strip_prefix("voluntary_ctxt_switches:"))?;
             sum += line.trim().parse::<u64>().ok()?;
         }
         Some(sum)
     }
 
-    /// Threads that it has.
+    /// Number of the process's threads.
     pub fn thread_count(&self) -> Option<usize> {
         let pid = self.child.as_ref()?.id();
         Some(std::fs::read_dir(format!("/proc/{pid}/task")).ok()?.count())
     }
 
-    /// Kilobytes of memory, and seconds of the processor.
+    /// Resident memory in kilobytes, and CPU time used so far in seconds.
     pub fn memory_and_cpu(&self) -> Option<(u64, f64)> {
         let pid = self.child.as_ref()?.id();
         let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
-        let rss = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
+        let rss = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
         let fields: Vec<_> = stat.rsplit_once(')')?.1.split_whitespace().collect();
         let ticks: u64 = fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
@@ -374,33 +382,39 @@
     }
 }
 
-async fn listens(lines: &Receiver<String>) -> Result<Listening, String> {
-    let mut last = String::new();
-    let mut listening = Listening::default();
-    while listening.http.is_none() {
-        let Ok(line) = lines.recv().await else { return Err(format!("it ended: {last}")) };
-        if let Some((_, at)) = line.split_once("listens on ") {
-            let (at, what) = at.split_once(" for ").unwrap_or((at, ""));
-            let at = at.split_whitespace().next().and_then(|a| a.parse().ok());
-            match what {
-                "members" => listening.members = at,
-                "operators" => listening.operators = at,
-                "" => listening.http = at,
+/// Reads log lines until one reports the address for clients. Addresses for members and operators are logged
+/// before it.
+async fn read_listen_addresses(lines: &Receiver<String>) -> Result<ListenAddresses, String> {
+    let mut last_line = String::new();
+    let mut addresses = ListenAddresses::default();
+    while addresses.clients.is_none() {
+        let Ok(line) = lines.recv().await else {
+            return Err(format!("the process exited; its last log line: {last_line}"));
+        };
+        if let Some((_, rest)) = line.split_once("listens on ") {
+            let (rest, purpose) = rest.split_once(" for ").unwrap_or((rest, ""));
+            let address = rest.split_whitespace().next().and_then(|word| word.parse().ok());
+            match purpose {
+                "members" => addresses.members = address,
+                "operators" => addresses.operators = address,
+                "" => addresses.clients = address,
                 _ => {}
             }
         }
-        last = line;
+        last_line = line;
     }
-    Ok(listening)
+    Ok(addresses)
 }
 
-pub(crate) fn write(file: &Path, text: &str) -> Result<(), String> {
+/// Writes a text to a file; the error names the file.
+pub(crate) fn write_file(file: &Path, text: &str) -> Result<(), String> {
     std::fs::write(file, text).map_err(|e| format!("cannot write {}: {e}", file.display()))
 }
 
-fn follow(err: impl std::io::Read, mut log: File, tx: &Sender<String>) {
-    for line in BufReader::new(err).lines().map_while(Result::ok) {
+/// Appends each line of the process's stderr to the log file and passes it on.
+fn copy_log_lines(stderr: impl std::io::Read, mut log: File, lines: &Sender<String>) {
+    for line in BufReader::new(stderr).lines().map_while(Result::ok) {
         let _ = writeln!(log, "{line}");
-        let _ = tx.send_blocking(line);
+        let _ = lines.send_blocking(line);
     }
 }
--- a/lab/src/daemon/operators.rs
+++ b/lab/src/daemon/operators.rs
@@ -1,25 +1,25 @@
-//! Calls of operators.
+//! Commands to a daemon's operator interface.
 
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Operators wait so long for an answer.
-const OPERATORS_WAIT: Duration = Duration::from_secs(1);
+/// How long a command waits for its response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One line to a connection, and one line back.
-pub async fn send_operator_command(at: SocketAddr, line: &str) -> Option<String> {
+/// Sends one command line over its own connection. Returns the response, or `None` if there is none in time.
+pub async fn send_operator_command(address: SocketAddr, line: &str) -> Option<String> {
     let call = async {
-        let mut stream = Async::<TcpStream>::connect(at).await.ok()?;
+        let mut stream = Async::<TcpStream>::connect(address).await.ok()?;
         stream.write_all(format!("{line}\n").as_bytes()).await.ok()?;
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).await.ok()?;
-        Some(answer.trim_end().to_owned())
+        let mut response = String::new();
+        stream.read_to_string(&mut response).await.ok()?;
+        Some(response.trim_end().to_owned())
     };
-    let late = async {
-        Timer::after(OPERATORS_WAIT).await;
+    let timeout = async {
+        Timer::after(RESPONSE_TIMEOUT).await;
         None
     };
-    future::or(call, late).await.filter(|answer| !answer.is_empty())
+    future::or(call, timeout).await.filter(|response| !response.is_empty())
 }
--- a/lab/src/daemon/settings.rs
+++ b/lab/src/daemon/settings.rs
@@ -1,8 +1,9 @@
-//! The settings that a daemon has where an experiment gives none.
+//! The default settings of a daemon in an experiment.
 
 use serde_json::{Value, json};
 
-/// The settings object of an instance: one class that may be repeated, one partner kind.
+/// Returns the settings object of one of `senders` instances: one class with a repeatable effect, one
+/// endpoint kind.
 pub fn settings(senders: usize) -> Value {
     json!({
         "azs": ["floor-2"],
--- a/lab/src/experiments/idle.rs
+++ b/lab/src/experiments/idle.rs
@@ -5,7 +5,7 @@
 use crate::report::{Claim, Report, quantile};
 use crate::testbed::clients::{self, Clients};
 use crate::testbed::discovery::{Discovery, entry_json};
-use crate::testbed::partner::{Mode, Partner, Strength};
+use crate::testbed::partner::{CapacityModel, Mode, Partner};
 use crate::testbed::{Runtime, sleep};
 use serde_json::{Value, json};
 use std::io::{Read, Write};
@@ -18,29 +18,29 @@
 /// Listeners that all destinations share.
 const LISTENERS: u64 = 5;
 /// Messages a second at each daemon.
-const LOAD: f64 = 200.0;
+const MESSAGES_PER_S: f64 = 200.0;
 
-struct Sizes {
-    listed: u64,
+struct Parameters {
+    listed_endpoints: u64,
     /// Seconds that the processor's time is measured for.
-    cpu: f64,
+    cpu_span_s: f64,
     /// Whole lists of new destinations, one after the other.
-    rounds: u64,
+    list_replacements: u64,
 }
 
 pub async fn run(setup: &ExperimentContext) -> Result<Report, String> {
     let sizes = if setup.short {
-        Sizes { listed: 5_000, cpu: 5.0, rounds: 4 }
+        Parameters { listed_endpoints: 5_000, cpu_span_s: 5.0, list_replacements: 4 }
     } else {
-        Sizes { listed: 50_000, cpu: 20.0, rounds: 7 }
+        Parameters { listed_endpoints: 50_000, cpu_span_s: 20.0, list_replacements: 7 }
     };
-    let mut claims = many(setup, &sizes).await?;
-    let figures = waking(setup, &mut claims).await?;
+    let mut claims = measure_large_list(setup, &sizes).await?;
+    let figures = measure_reactivation(setup, &mut claims).await?;
     Ok(Report { experiment: "idle-50k".into(), short: setup.short, claims, figures })
 }
 
 /// Lines of the list for these destinations.
-fn lines(partners: &[Rc<Partner>], from: u64, to: u64, state: &str) -> Vec<String> {
+fn list_entries(partners: &[Rc<Partner>], from: u64, to: u64, state: &str) -> Vec<String> {
     let at = |d: u64| partners[(d % LISTENERS) as usize].address;
     (from..to).map(|d| entry_json(&format!("club-endpoint-{d:08}"), at(d), d, state, 50.0)).collect()
 }
@@ -50,7 +50,7 @@
 }
 
 /// Waits until a daemon counts so many endpoints in its list. The milliseconds that it took.
-async fn lists(d: &Daemon, world: &Runtime, n: u64) -> Result<f64, String> {
+async fn wait_for_list(d: &Daemon, world: &Runtime, n: u64) -> Result<f64, String> {
     let began = world.now();
     while counter(d, "listed").await != Some(n as f64) {
         if world.now() - began > 20.0 {
@@ -91,7 +91,7 @@
     }
 
     /// How long each answer took, in milliseconds.
-    fn end(self) -> Result<Vec<f64>, String> {
+    fn finish(self) -> Result<Vec<f64>, String> {
         self.stop.store(true, Ordering::Relaxed);
         let took = self.thread.join().map_err(|_| "the pinger has ended")?;
         took.map_err(|e| format!("the pinger: {e}"))
@@ -99,11 +99,11 @@
 }
 
 /// The list, what it costs to hold and to change, and a process with nothing to do.
-async fn many(setup: &ExperimentContext, sizes: &Sizes) -> Result<Vec<Claim>, String> {
-    let (world, n) = (&setup.runtime, sizes.listed);
-    let strong = Strength { per_s: 1e6, service: 0.002, ..Strength::default() };
+async fn measure_large_list(setup: &ExperimentContext, sizes: &Parameters) -> Result<Vec<Claim>, String> {
+    let (world, n) = (&setup.runtime, sizes.listed_endpoints);
+    let strong = CapacityModel { calls_per_s: 1e6, service_time_s: 0.002, ..CapacityModel::default() };
     let partners = (0..LISTENERS).map(|d| Partner::start(world, d, strong)).collect::<Result<Vec<_>, _>>()?;
-    let few = lines(&partners, 1, 31, "Ready");
+    let few = list_entries(&partners, 1, 31, "Ready");
     let start = async |name: &str| {
         let discovery = Discovery::start(world, &partners)?;
         discovery.publish(&few, None);
@@ -118,40 +118,40 @@
             1,
         )?;
         d.start().await?;
-        lists(&d, world, 30).await?;
+        wait_for_list(&d, world, 30).await?;
         Ok::<_, String>((d, discovery))
     };
     let (big, discovery) = start("many").await?;
     let (small, _discovery) = start("few").await?;
     let used: Vec<_> = (1..=20).collect();
-    let clients = Clients::start(world, 2, &used, LOAD, 7);
-    let at = |i: usize, to: Option<SocketAddr>| clients.at[i].set(to);
+    let clients = Clients::start(world, 2, &used, MESSAGES_PER_S, 7);
+    let at = |i: usize, to: Option<SocketAddr>| clients.daemon_addresses[i].set(to);
     at(0, big.client_address);
     at(1, small.client_address);
     sleep(2.0).await;
 
     let pinger = Pinger::start(big.client_address.ok_or("no daemon")?);
     sleep(1.0).await;
-    let all = lines(&partners, 1, n + 1, "Ready");
+    let all = list_entries(&partners, 1, n + 1, "Ready");
     discovery.publish(&all, None);
-    let load = lists(&big, world, n).await?;
+    let load = wait_for_list(&big, world, n).await?;
     setup.log_progress(&format!("a list of {n} took {load:.0} ms"));
     sleep(0.5).await;
     let half = n / 2;
-    discovery.publish(&all[..half as usize], Some(&lines(&partners, half + 1, n + 1, "Gone")));
-    let change = lists(&big, world, half).await?;
+    discovery.publish(&all[..half as usize], Some(&list_entries(&partners, half + 1, n + 1, "Gone")));
+    let change = wait_for_list(&big, world, half).await?;
     setup.log_progress(&format!("{half} that went in one change took {change:.0} ms"));
     sleep(0.5).await;
     discovery.publish(&all, None);
-    lists(&big, world, n).await?;
-    let pings = pinger.end()?;
+    wait_for_list(&big, world, n).await?;
+    let pings = pinger.finish()?;
 
     let cost = |d: &Daemon| d.memory_and_cpu().ok_or("no daemon");
     let (mut cpu, mut taken) = ([0.0; 2], [0.0; 2]);
     for (i, d) in [&big, &small].into_iter().enumerate() {
         (cpu[i], taken[i]) = (cost(d)?.1, counter(d, "taken").await.ok_or("no counters")?);
     }
-    sleep(sizes.cpu).await;
+    sleep(sizes.cpu_span_s).await;
     for (i, d) in [&big, &small].into_iter().enumerate() {
         (cpu[i], taken[i]) =
             (cost(d)?.1 - cpu[i], counter(d, "taken").await.ok_or("no counters")? - taken[i]);
@@ -160,8 +160,8 @@
     setup.log_progress(&format!("{:.0} us a message with {n} listed, {:.0} with 30", each[0], each[1]));
 
     // A hundred in use.
-    let hundred = Clients::start(world, 1, &(1..=100).collect::<Vec<_>>(), LOAD, 8);
-    hundred.at[0].set(big.client_address);
+    let hundred = Clients::start(world, 1, &(1..=100).collect::<Vec<_>>(), MESSAGES_PER_S, 8);
+    hundred.daemon_addresses[0].set(big.client_address);
     at(0, None);
     sleep(4.0).await;
     let awake = counter(&big, "awake").await.ok_or("no counters")?;
@@ -173,15 +173,18 @@
 
     // Others take their place, and others again; of each list some are used.
     let mut soak = Vec::new();
-    for round in 1..=sizes.rounds {
+    for round in 1..=sizes.list_replacements {
         let from = 1_000_000 * round;
-        let next =
-            [lines(&partners, 1, 101, "Ready"), lines(&partners, from, from + n - 100, "Ready")].concat();
+        let next = [
+            list_entries(&partners, 1, 101, "Ready"),
+            list_entries(&partners, from, from + n - 100, "Ready"),
+        ]
+        .concat();
         discovery.publish(&next, None);
         sleep(0.5).await;
-        lists(&big, world, n).await?;
+        wait_for_list(&big, world, n).await?;
         for d in from..from + 500 {
-            let status = hand_in(big.client_address, d, d).await;
+            let status = submit(big.client_address, d, d).await;
             if status != 202 {
                 return Err(format!("a message for {d} was answered {status}"));
             }
@@ -199,10 +202,10 @@
     let before = (cost(&big)?.0, counter(&big, "awake").await.ok_or("no counters")?);
     let (began, mut woken) = (world.now(), 0);
     while world.now() - began < 4.0 && woken < n / 5 {
-        let d = 1_000_000 * sizes.rounds + 1000 + woken;
+        let d = 1_000_000 * sizes.list_replacements + 1000 + woken;
         let statuses = futures_lite::future::zip(
-            hand_in(big.client_address, d, d),
-            hand_in(big.client_address, d + 1, d + 1),
+            submit(big.client_address, d, d),
+            submit(big.client_address, d + 1, d + 1),
         )
         .await;
         if statuses != (202, 202) {
@@ -214,26 +217,32 @@
     let kb_each = (after.0 as f64 - before.0 as f64) / (after.1 - before.1);
     setup.log_progress(&format!("{woken} woken in {:.1} s, {kb_each:.1} kB each", world.now() - began));
 
-    hundred.at[0].set(None);
+    hundred.daemon_addresses[0].set(None);
     at(1, None);
     sleep(8.0).await;
     let sleeps = [
         big.voluntary_context_switches().ok_or("no daemon")?,
         small.voluntary_context_switches().ok_or("no daemon")?,
     ];
-    let asked = discovery.asked.get();
+    let asked = discovery.list_requests.get();
     sleep(10.0).await;
     let wakeups = (big.voluntary_context_switches().ok_or("no daemon")? - sleeps[0]) as f64 / 10.0;
-    let asked = (discovery.asked.get() - asked) as f64 / 10.0;
+    let asked = (discovery.list_requests.get() - asked) as f64 / 10.0;
     let rested = counter(&big, "awake").await.ok_or("no counters")?;
     setup.log_progress(&format!(
         "{wakeups:.1} wake-ups a second with nothing to do, {asked:.1} questions for the list"
     ));
 
-    let late = [&clients, &hundred].into_iter().map(|c| c.answers.borrow().get(&0).copied().unwrap_or(0));
+    let late =
+        [&clients, &hundred].into_iter().map(|c| c.status_counts.borrow().get(&0).copied().unwrap_or(0));
     let late = late.sum::<u64>() as f64;
-    let others =
-        clients.answers.borrow().iter().filter(|(s, _)| ![0, 202].contains(*s)).map(|(_, n)| n).sum::<u64>();
+    let others = clients
+        .status_counts
+        .borrow()
+        .iter()
+        .filter(|(s, _)| ![0, 202].contains(*s))
+        .map(|(_, n)| n)
+        .sum::<u64>();
     Ok(vec![
         Claim::at_most("rss_mb", rss[0], 25.0, "MB"),
         Claim::at_most("rss_few_mb", rss[1], 25.0, "MB"),
@@ -253,35 +262,35 @@
 }
 
 /// One message for a destination.
-async fn hand_in(at: Option<SocketAddr>, destination: u64, n: u64) -> u16 {
+async fn submit(at: Option<SocketAddr>, destination: u64, n: u64) -> u16 {
     match at {
-        Some(daemon) => clients::hand_in(daemon, &format!("w-{n}"), destination, 4.5).await,
+        Some(daemon) => clients::submit(daemon, &format!("w-{n}"), destination, 4.5).await,
         None => 0,
     }
 }
 
 /// So many messages for a destination, evenly over a span.
-async fn clump(world: &Runtime, at: Option<SocketAddr>, destination: u64, many: u64, over: f64) {
+async fn send_burst(world: &Runtime, at: Option<SocketAddr>, destination: u64, many: u64, over: f64) {
     let first = destination * 1_000_000 + (world.now() * 1000.0) as u64 * 1000;
     for n in first..first + many {
         world.spawn(async move {
-            hand_in(at, destination, n).await;
+            submit(at, destination, n).await;
         });
         sleep(over / many as f64).await;
     }
 }
 
 /// What came to a partner in a span: calls that it turned away, and that it took.
-fn met(p: &Partner, from: f64) -> (usize, usize) {
-    let hits = p.hits.borrow();
-    let count = |status: u16| hits.iter().filter(|h| h.at >= from && h.status == status).count();
+fn refused_and_served(p: &Partner, from: f64) -> (usize, usize) {
+    let hits = p.calls.borrow();
+    let count = |status: u16| hits.iter().filter(|h| h.received_at >= from && h.status == status).count();
     (count(503), count(200))
 }
 
 /// A clump at opening, and a return from an outage, at a forwarder whose destinations rest and one that keeps its pace.
-async fn waking(setup: &ExperimentContext, claims: &mut Vec<Claim>) -> Result<Value, String> {
+async fn measure_reactivation(setup: &ExperimentContext, claims: &mut Vec<Claim>) -> Result<Value, String> {
     let world = &setup.runtime;
-    let strength = Strength { per_s: 25.0, ..Strength::default() };
+    let strength = CapacityModel { calls_per_s: 25.0, ..CapacityModel::default() };
     let mut pairs = Vec::new();
     for (name, product) in [("rests", "[idle]\nrest_s = 2\n"), ("keeps", "")] {
         let partners = (0..2).map(|d| Partner::start(world, d, strength)).collect::<Result<Vec<_>, _>>()?;
@@ -302,11 +311,11 @@
             1,
         )?;
         d.start().await?;
-        lists(&d, world, 2).await?;
+        wait_for_list(&d, world, 2).await?;
         pairs.push((d, partners, discovery));
     }
     let both = async |destination: u64, many: u64, over: f64| {
-        let way = |i: usize| clump(world, pairs[i].0.client_address, destination, many, over);
+        let way = |i: usize| send_burst(world, pairs[i].0.client_address, destination, many, over);
         futures_lite::future::zip(way(0), way(1)).await;
     };
     // In use for a while, as on any evening; the second fails in the end.
@@ -321,12 +330,15 @@
     let rested = counter(&pairs[0].0, "awake").await.ok_or("no counters")?;
     // Opening: both are cold.
     let now = world.now();
-    pairs.iter().for_each(|(_, p, _)| p.iter().for_each(|p| p.mode.set(Mode::Cold(now))));
+    pairs.iter().for_each(|(_, p, _)| p.iter().for_each(|p| p.mode.set(Mode::WarmingUp(now))));
     futures_lite::future::zip(both(0, 400, 2.0), both(1, 400, 2.0)).await;
     sleep(10.0).await;
-    let seen: Vec<_> = pairs.iter().map(|(_, p, _)| [met(&p[0], now), met(&p[1], now)]).collect();
-    let fallen = pairs[0].1.iter().filter(|p| p.mode.get() == Mode::Fallen).count();
-    let fallen_kept = pairs[1].1.iter().filter(|p| p.mode.get() == Mode::Fallen).count();
+    let seen: Vec<_> = pairs
+        .iter()
+        .map(|(_, p, _)| [refused_and_served(&p[0], now), refused_and_served(&p[1], now)])
+        .collect();
+    let fallen = pairs[0].1.iter().filter(|p| p.mode.get() == Mode::Collapsed).count();
+    let fallen_kept = pairs[1].1.iter().filter(|p| p.mode.get() == Mode::Collapsed).count();
     let full = |i: usize| (seen[i][0].0 + seen[i][1].0) as f64;
     let took = |i: usize| (seen[i][0].1 + seen[i][1].1) as f64;
     claims.push(Claim::at_most("full_on_waking", full(0), full(1), "refusals"));
--- a/lab/src/experiments/list_size.rs
+++ b/lab/src/experiments/list_size.rs
@@ -3,23 +3,23 @@
 use super::ExperimentContext;
 use crate::daemon::Daemon;
 use crate::report::{Claim, Report};
-use crate::testbed::clients::hand_in;
+use crate::testbed::clients::submit;
 use crate::testbed::discovery::{Discovery, entry_json};
-use crate::testbed::partner::{Partner, Strength};
+use crate::testbed::partner::{CapacityModel, Partner};
 use crate::testbed::sleep;
 use serde_json::{Value, json};
 
 /// Endpoints, each a destination of its own; the first is what the others are measured against.
-const LISTED: [u64; 3] = [30, 300, 1024];
+const ENDPOINT_COUNTS: [u64; 3] = [30, 300, 1024];
 /// Listeners that all destinations share.
 const LISTENERS: u64 = 5;
 
 pub async fn run(setup: &ExperimentContext) -> Result<Report, String> {
     let world = &setup.runtime;
-    let strong = Strength { per_s: 1e6, service: 0.002, ..Strength::default() };
+    let strong = CapacityModel { calls_per_s: 1e6, service_time_s: 0.002, ..CapacityModel::default() };
     let partners = (0..LISTENERS).map(|d| Partner::start(world, d, strong)).collect::<Result<Vec<_>, _>>()?;
     let (mut rows, mut unserved) = (Vec::new(), 0);
-    for n in LISTED {
+    for n in ENDPOINT_COUNTS {
         let discovery = Discovery::start(world, &partners)?;
         let at = |d: u64| partners[(d % LISTENERS) as usize].address;
         let all: Vec<_> =
@@ -48,7 +48,7 @@
         let http = d.client_address.ok_or("no daemon")?;
         let mut taken = 0;
         for i in 1..=n {
-            taken += u64::from(hand_in(http, &format!("{n:08x}{i:08x}"), i, 4.0).await == 202);
+            taken += u64::from(submit(http, &format!("{n:08x}{i:08x}"), i, 4.0).await == 202);
         }
         sleep(2.0).await;
         let delivered = counter(&d, "delivered").await.unwrap_or_default();
--- a/lab/src/experiments/mod.rs
+++ b/lab/src/experiments/mod.rs
@@ -34,7 +34,7 @@
 
 pub struct Experiment {
     pub name: &'static str,
-    pub about: &'static str,
+    pub summary: &'static str,
     run: fn(&ExperimentContext) -> Result<Report, String>,
 }
 
@@ -42,7 +42,7 @@
 macro_rules! experiments {
     ($($name:literal, $about:literal, $script:path;)*) => {
         pub const ALL: &[Experiment] =
-            &[$(Experiment { name: $name, about: $about, run: |s| block(s, $script(s)) }),*];
+            &[$(Experiment { name: $name, summary: $about, run: |s| run_script(s, $script(s)) }),*];
     };
 }
 
@@ -61,7 +61,7 @@
     "fleet-limit", "2 to 100 modules at a limit that refused calls use up, and their calls for the list", fleet_limit::limit;
 }
 
-fn block(
+fn run_script(
     setup: &ExperimentContext, script: impl Future<Output = Result<Report, String>>,
 ) -> Result<Report, String> {
     async_io::block_on(setup.runtime.executor.run(script))
@@ -74,6 +74,6 @@
     std::fs::create_dir_all(&setup.output_dir)
         .map_err(|e| format!("cannot make {}: {e}", setup.output_dir.display()))?;
     let report = (found.run)(setup)?;
-    report.write(&setup.output_dir)?;
+    report.write_json(&setup.output_dir)?;
     Ok(report)
 }
--- a/lab/src/experiments/soak.rs
+++ b/lab/src/experiments/soak.rs
@@ -7,11 +7,11 @@
 use serde_json::json;
 
 /// A line of a violation is worth seeing; of many the first ones tell.
-const LINES_MOST: usize = 40;
+const MAX_REPORTED_LINES: usize = 40;
 /// A run in which hardly anything is delivered shows nothing.
-const DELIVERED_LEAST: f64 = 0.5;
+const MIN_DELIVERED_SHARE: f64 = 0.5;
 /// Beyond this the stand-ins were too late to judge anything.
-const LATENESS_MOST_S: f64 = 0.25;
+const MAX_LATENESS_S: f64 = 0.25;
 
 /// The long and the short form.
 fn size(setup: &ExperimentContext) -> Soak {
@@ -32,9 +32,10 @@
     claims.push(Claim::at_most("bad_clients_unanswered", outcome.bad_unanswered as f64, 0.0, "clients"));
     let number = |key: &str| outcome.figures[key].as_f64().unwrap_or(f64::NAN);
     let delivered = number("delivered") / number("taken_on");
-    claims.push(Claim::at_least("delivered_share", delivered, DELIVERED_LEAST, "of taken on"));
-    claims.push(Claim::at_most("stand_ins_late", number("stand_ins_late_s"), LATENESS_MOST_S, "s"));
-    let lines: Vec<_> = outcome.verdict.lines.iter().chain(&outcome.logged).take(LINES_MOST).collect();
+    claims.push(Claim::at_least("delivered_share", delivered, MIN_DELIVERED_SHARE, "of taken on"));
+    claims.push(Claim::at_most("stand_ins_late", number("stand_ins_late_s"), MAX_LATENESS_S, "s"));
+    let lines: Vec<_> =
+        outcome.verdict.lines.iter().chain(&outcome.logged).take(MAX_REPORTED_LINES).collect();
     let mut figures = outcome.figures;
     figures["violations"] = json!(lines);
     figures["crashes"] = json!(outcome.crashes);
--- a/lab/src/http.rs
+++ b/lab/src/http.rs
@@ -1,4 +1,4 @@
-//! The few words of HTTP/1.1 that the stand-ins need.
+//! The part of HTTP/1.1 that the stand-ins need.
 
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -6,121 +6,134 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
+/// A received request.
 pub struct Request {
     pub method: String,
     pub path: String,
-    /// Of the lease under which it was sent; none where it does not say.
+    /// Epoch of the lease under which the request was sent, from `X-Epoch`.
     pub epoch: Option<u64>,
-    /// The id of its message; empty where it has none.
+    /// The message's id from `X-Request-Id`; empty if the request has none.
     pub id: String,
     pub body: Vec<u8>,
-    /// When its first byte came.
+    /// When the first byte of the request arrived.
     pub first_byte_at: Instant,
 }
 
-/// A connection that requests come over, one at a time.
+/// The server's side of a connection, over which the client sends one request at a time.
 pub struct ServerConnection {
     pub stream: Async<TcpStream>,
-    bytes: Vec<u8>,
-    /// When the first of these bytes came.
-    began: Option<Instant>,
+    /// Received bytes that are not part of a complete request yet.
+    buffer: Vec<u8>,
+    /// When the first byte in the buffer arrived.
+    first_byte_at: Option<Instant>,
 }
 
-fn bad(what: &str) -> io::Error {
+fn invalid_data(what: &str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, what)
 }
 
 impl ServerConnection {
+    /// Takes over an accepted connection.
     pub fn new(stream: Async<TcpStream>) -> ServerConnection {
         let _ = stream.get_ref().set_nodelay(true);
-        ServerConnection { stream, bytes: Vec::new(), began: None }
+        ServerConnection { stream, buffer: Vec::new(), first_byte_at: None }
     }
 
-    /// The next request; none when the other side has closed.
+    /// Returns the next request, or `None` once the client has closed the connection.
     pub async fn next_request(&mut self) -> io::Result<Option<Request>> {
         loop {
-            if let Some((request, n)) = self.parse()? {
-                self.bytes.drain(..n);
-                self.began = None;
+            if let Some((request, length)) = self.parse()? {
+                self.buffer.drain(..length);
+                self.first_byte_at = None;
                 return Ok(Some(request));
             }
-            let mut some = [0; 4096];
-            let n = self.stream.read(&mut some).await?;
-            if n == 0 {
+            let mut chunk = [0; 4096];
+            let length = self.stream.read(&mut chunk).await?;
+            if length == 0 {
                 return Ok(None);
             }
-            self.began.get_or_insert_with(Instant::now);
-            self.bytes.extend(&some[..n]);
+            self.first_byte_at.get_or_insert_with(Instant::now);
+            self.buffer.extend(&chunk[..length]);
         }
     }
 
+    /// Parses a complete request at the start of the buffer; returns it with its length in bytes.
     fn parse(&self) -> io::Result<Option<(Request, usize)>> {
         let mut headers = [httparse::EMPTY_HEADER; 32];
-        let mut r = httparse::Request::new(&mut headers);
-        let Ok(httparse::Status::Complete(at)) = r.parse(&self.bytes) else {
-            return if self.bytes.len() > 64 * 1024 { Err(bad("a head without end")) } else { Ok(None) };
+        let mut head = httparse::Request::new(&mut headers);
+        let Ok(httparse::Status::Complete(head_length)) = head.parse(&self.buffer) else {
+            return if self.buffer.len() > 64 * 1024 {
+                Err(invalid_data("the request head is longer than 64 KiB or malformed"))
+            } else {
+                Ok(None)
+            };
         };
         let header = |name: &str| {
-            let h = r.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
-            h.and_then(|h| std::str::from_utf8(h.value).ok()).map(str::to_owned)
+            let found = head.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
+            found.and_then(|h| std::str::from_utf8(h.value).ok()).map(str::to_owned)
         };
-        let length: usize = header("content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
-        if self.bytes.len() < at + length {
+        let body_length: usize = header("content-length").and_then(|value| value.parse().ok()).unwrap_or(0);
+        if self.buffer.len() < head_length + body_length {
             return Ok(None);
         }
         let text = |t: Option<&str>| t.unwrap_or("").to_owned();
-        let epoch = header("x-epoch").and_then(|e| e.parse().ok());
+        let epoch = header("x-epoch").and_then(|value| value.parse().ok());
         let request = Request {
-            method: text(r.method),
-            path: text(r.path),
+            method: text(head.method),
+            path: text(head.path),
             epoch,
             id: header("x-request-id").unwrap_or_default(),
-            body: self.bytes[at..at + length].to_vec(),
-            first_byte_at: self.began.unwrap_or_else(Instant::now),
+            body: self.buffer[head_length..head_length + body_length].to_vec(),
+            first_byte_at: self.first_byte_at.unwrap_or_else(Instant::now),
         };
-        Ok(Some((request, at + length)))
+        Ok(Some((request, head_length + body_length)))
     }
 
+    /// Sends a response. `headers` are complete lines, each with its CRLF.
     pub async fn respond(&mut self, status: u16, headers: &str, body: &str) -> io::Result<()> {
         let text = format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len());
         self.stream.write_all(text.as_bytes()).await
     }
 
-    /// Waits until the other side closes. What it sends meanwhile is thrown away.
+    /// Waits until the client closes the connection. Bytes that arrive meanwhile are discarded.
     pub async fn wait_for_close(&mut self) {
-        let mut some = [0; 1024];
-        while self.stream.read(&mut some).await.is_ok_and(|n| n > 0) {}
+        let mut chunk = [0; 1024];
+        while self.stream.read(&mut chunk).await.is_ok_and(|length| length > 0) {}
     }
 }
 
-/// One request over a connection of its own: status and body. Nothing where there is no answer in time.
-pub async fn send_request(to: SocketAddr, request: &str, within: Duration) -> Option<(u16, String)> {
+/// Sends one request over its own connection. Returns the status and the body of the response, or `None` if
+/// there is none in time.
+pub async fn send_request(address: SocketAddr, request: &str, timeout: Duration) -> Option<(u16, String)> {
     let call = async {
-        let mut stream = Async::<TcpStream>::connect(to).await.ok()?;
+        let mut stream = Async::<TcpStream>::connect(address).await.ok()?;
         stream.write_all(request.as_bytes()).await.ok()?;
-        let mut bytes = Vec::new();
+        let mut buffer = Vec::new();
         loop {
             let mut headers = [httparse::EMPTY_HEADER; 32];
-            let mut r = httparse::Response::new(&mut headers);
-            if let Ok(httparse::Status::Complete(at)) = r.parse(&bytes) {
-                let length = r.headers.iter().find(|h| h.name.eq_ignore_ascii_case("content-length"))?;
-                let length: usize = std::str::from_utf8(length.value).ok()?.trim().parse().ok()?;
-                if bytes.len() >= at + length {
-                    let body = String::from_utf8_lossy(&bytes[at..at + length]).into_owned();
-                    return Some((r.code?, body));
+            let mut head = httparse::Response::new(&mut headers);
+            if let Ok(httparse::Status::Complete(head_length)) = head.parse(&buffer) {
+                let length_header =
+                    head.headers.iter().find(|h| h.name.eq_ignore_ascii_case("content-length"))?;
+                let body_length: usize =
+                    std::str::from_utf8(length_header.value).ok()?.trim().parse().ok()?;
+                if buffer.len() >= head_length + body_length {
+                    let body =
+                        String::from_utf8_lossy(&buffer[head_length..head_length + body_length]).into_owned();
+                    return Some((head.code?, body));
                 }
             }
-            let mut some = [0; 4096];
-            let n = stream.read(&mut some).await.ok()?;
-            if n == 0 {
+            let mut chunk = [0; 4096];
+            let length = stream.read(&mut chunk).await.ok()?;
+            if length == 0 {
                 return None;
             }
-            bytes.extend(&some[..n]);
+            buffer.extend(&chunk[..length]);
         }
     };
-    let late = async {
-        async_io::Timer::after(within).await;
+    let deadline = async {
+        async_io::Timer::after(timeout).await;
         None
     };
-    futures_lite::future::or(call, late).await
+    futures_lite::future::or(call, deadline).await
 }
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,19 +1,17 @@
-//! A laboratory on loopback: stand-ins round real daemons, and experiments that end in claims.
+//! A test bed on loopback: stand-ins for everything around real daemons, and experiments that end in claims.
 //!
-//! - [`world`] has the stand-ins. Each writes down what it saw and when; nothing in a daemon is asked to judge itself.
-//!   - [`world::partner`]: a partner with a capacity, trouble on demand, and a cold return.
-//!   - [`world::discovery`]: the endpoint list, and the platform's end of notices.
-//!   - [`world::net`]: the network between daemons, which can be cut one way or both.
-//!   - [`world::clients`]: load that does not wait for answers.
-//! - [`scale`] has hollow forwarders by the thousand on a virtual clock.
-//! - [`senders`] has many modules on a virtual clock, without a daemon.
-//! - [`soak`] has a few dozen real daemons under random faults that overlap.
-//! - [`daemon`] starts real daemons, and kills, stops and starts them again.
-//! - [`report`] is what an experiment ends in: claims, each with a figure and a bound, as a table and JSON.
-//! - [`capacity`] works out from slopes what the design costs at a given size.
-//! - [`experiments`] are the scripts, by name.
+//! - [`testbed`] has the stand-ins. Each records what it saw and when: a daemon's behaviour is judged from
+//! outside. - [`testbed::partner`]: a partner with limited capacity, failures on demand, and a cold return. -
+//! [`testbed::discovery`]: the server of the endpoint list, and of the platform's notices. -
+//! [`testbed::network`]: the network between daemons, which can be cut in one direction or both. -
+//! [`testbed::clients`]: open-loop load, which does not wait for responses. - [`scale`] has thousands of
+//! simulated forwarders on a virtual clock. - [`senders`] has many policy engines on a virtual clock, without
+//! a daemon. - [`soak`] has a few dozen real daemons under random faults that overlap. - [`daemon`] starts
+//! real daemons, kills or pauses them, and starts them again. - [`report`] is the result of an experiment:
+//! claims, each with a figure and a bound, as a table and as JSON. - [`capacity`] computes from measured
+//! slopes what the design costs at a given size. - [`experiments`] has the scripts, by name.
 //!
-//! Everything of one experiment runs on one thread; the daemons are processes of their own.
+//! All stand-ins of one experiment run on one thread; each daemon is a process.
 
 pub mod capacity;
 pub mod daemon;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -17,8 +17,8 @@
 `capacity` works out from the reports of DIR what each role costs at the two-year size. --check ends with 1 if
 the table of PAGE is another one, --write puts it there. --owners is of senders of a destination, 3 by default.";
 
-struct Line {
-    words: Vec<String>,
+struct Arguments {
+    positional: Vec<String>,
     out: Option<PathBuf>,
     daemon: Option<PathBuf>,
     short: bool,
@@ -26,9 +26,10 @@
     capacity: capacity::Request,
 }
 
-fn line(mut args: lexopt::Parser) -> Result<Line, String> {
+fn parse_arguments(mut args: lexopt::Parser) -> Result<Arguments, String> {
     let capacity = capacity::Request::default();
-    let mut line = Line { words: Vec::new(), out: None, daemon: None, short: false, seed: 7, capacity };
+    let mut line =
+        Arguments { positional: Vec::new(), out: None, daemon: None, short: false, seed: 7, capacity };
     while let Some(arg) = args.next().map_err(|e| e.to_string())? {
         match arg {
             Long("out") => line.out = Some(args.value().map_err(|e| e.to_string())?.into()),
@@ -47,17 +48,17 @@
                 let parsed = text.to_string_lossy().parse();
                 line.capacity.owners = Some(parsed.map_err(|_| format!("--owners is no number: {text:?}"))?);
             }
-            Long("help") | Short('h') => line.words = vec!["help".into()],
-            Value(v) => line.words.push(v.to_string_lossy().into_owned()),
+            Long("help") | Short('h') => line.positional = vec!["help".into()],
+            Value(v) => line.positional.push(v.to_string_lossy().into_owned()),
             other => return Err(other.unexpected().to_string()),
         }
     }
     Ok(line)
 }
 
-fn play() -> Result<bool, String> {
-    let line = line(lexopt::Parser::from_env())?;
-    let words: Vec<&str> = line.words.iter().map(String::as_str).collect();
+fn run_command() -> Result<bool, String> {
+    let line = parse_arguments(lexopt::Parser::from_env())?;
+    let words: Vec<&str> = line.positional.iter().map(String::as_str).collect();
     match words.as_slice() {
         ["run", name] => {
             let out = line.out.ok_or("run: --out DIR is missing")?;
@@ -74,7 +75,7 @@
             Ok(report.all_claims_hold())
         }
         ["list"] => {
-            ALL.iter().for_each(|e| println!("{:<16} {}", e.name, e.about));
+            ALL.iter().for_each(|e| println!("{:<16} {}", e.name, e.summary));
             Ok(true)
         }
         ["capacity"] if line.capacity.reports.as_os_str().is_empty() => {
@@ -90,7 +91,7 @@
 }
 
 fn main() -> ExitCode {
-    match play() {
+    match run_command() {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(e) => {
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 /// Longer figures are not shown beside the claims.
-const SHOWN_MOST: usize = 4_000;
+const MAX_SHOWN_BYTES: usize = 4_000;
 
 /// One claim.
 #[derive(Clone, Debug, Serialize)]
@@ -61,7 +61,7 @@
         if let Value::Object(figures) = &self.figures {
             for (name, v) in figures {
                 let text = v.to_string();
-                let text = if text.len() > SHOWN_MOST { "see report.json" } else { &text };
+                let text = if text.len() > MAX_SHOWN_BYTES { "see report.json" } else { &text };
                 out += &format!("  {name}: {text}\n");
             }
         }
@@ -69,7 +69,7 @@
     }
 
     /// Writes `report.json` into the folder.
-    pub fn write(&self, folder: &Path) -> Result<(), String> {
+    pub fn write_json(&self, folder: &Path) -> Result<(), String> {
         let text = serde_json::to_string_pretty(self).map_err(|e| e.to_string())?;
         let file = folder.join("report.json");
         std::fs::write(&file, text + "\n").map_err(|e| format!("cannot write {}: {e}", file.display()))
@@ -77,7 +77,7 @@
 }
 
 /// The most events in any span of so many seconds; the end of the span does not belong to it.
-pub fn most_within(times: &[f64], span: f64) -> usize {
+pub fn max_in_span(times: &[f64], span: f64) -> usize {
     let mut times = times.to_vec();
     times.sort_by(f64::total_cmp);
     let (mut from, mut most) = (0, 0);
@@ -113,8 +113,8 @@
 
     #[test]
     fn windows_and_quantiles() {
-        assert_eq!(most_within(&[0.0, 1.0, 0.5, 1.4], 1.0), 3);
-        assert_eq!(most_within(&[], 1.0), 0);
+        assert_eq!(max_in_span(&[0.0, 1.0, 0.5, 1.4], 1.0), 3);
+        assert_eq!(max_in_span(&[], 1.0), 0);
         assert_eq!(quantile(&[1.0, 2.0, 3.0, 4.0], 0.5), 2.0);
         assert_eq!(quantile(&[1.0, 2.0, 3.0], 0.99), 3.0);
         assert!(quantile(&[], 0.5).is_nan());
--- a/lab/src/senders.rs
+++ b/lab/src/senders.rs
@@ -9,19 +9,19 @@
 const STEP: Micros = Micros(20_000);
 const STEPS_PER_S: usize = 50;
 /// What a call takes.
-const CALL: Micros = Micros(100_000);
+const CALL_TIME: Micros = Micros(100_000);
 /// What a message may take.
-const LEFT: Micros = Micros(5_000_000);
+const TIME_LEFT: Micros = Micros(5_000_000);
 /// What the destination has room for, in seconds of its limit.
-const DEPTH_S: f64 = 0.2;
-const TO: ReceiverId = ReceiverId(1);
+const LIMIT_BURST_S: f64 = 0.2;
+const RECEIVER: ReceiverId = ReceiverId(1);
 
 /// Settings of one of so many senders that are told nothing of each other, and share the work of one destination.
 fn settings(senders: u32, number: u32) -> Settings {
     Settings {
         classes: vec![ClassSettings {
             target_latency: Micros(800_000),
-            give_up_after: LEFT,
+            give_up_after: TIME_LEFT,
             effect: Effect::Safe,
             value: 1.0,
             late_value_share: 0.1,
@@ -45,10 +45,10 @@
     }
 }
 
-fn listed(weight: f64) -> Event {
+fn persisted_list(weight: f64) -> Event {
     let (destination, kind, zone) = (DestinationId(1), KindId(0), ZoneId(0));
     Event::PersistedList(vec![ListEntry {
-        receiver: TO,
+        receiver: RECEIVER,
         state: EntryState::Ready,
         destination,
         kind,
@@ -60,19 +60,19 @@
 /// One module, and its calls that are out.
 struct Sender {
     policy: PolicyEngine,
-    out: Vec<(MessageId, u32, Micros)>,
+    in_flight: Vec<(MessageId, u32, Micros)>,
     attempts: std::collections::BTreeMap<MessageId, u32>,
     /// Calls for the list that it has made and nobody has counted yet.
-    asks: u32,
+    list_requests: u32,
 }
 
 impl Sender {
     fn new(senders: u32, number: u32) -> Sender {
         let policy = PolicyEngine::new(settings(senders, number), u64::from(number));
-        Sender { policy, out: Vec::new(), attempts: Default::default(), asks: 0 }
+        Sender { policy, in_flight: Vec::new(), attempts: Default::default(), list_requests: 0 }
     }
 
-    fn event(&mut self, now: Micros, event: Event) {
+    fn handle_event(&mut self, now: Micros, event: Event) {
         let mut actions = Vec::new();
         self.policy.on_event(now, event, &mut actions);
         self.policy.decide(now, &mut actions);
@@ -80,83 +80,87 @@
             match action {
                 Action::Send { id, .. } => {
                     let attempt = self.attempts.entry(id).or_default();
-                    self.out.push((id, *attempt, now));
+                    self.in_flight.push((id, *attempt, now));
                     *attempt += 1;
                 }
-                Action::RequestList => self.asks += 1,
+                Action::RequestList => self.list_requests += 1,
                 _ => {}
             }
         }
     }
 
     /// The calls that have come to their end by now.
-    fn ends(&mut self, now: Micros) -> Vec<(MessageId, u32, Micros)> {
-        self.out.extract_if(.., |call| now.since(call.2) >= CALL).collect()
+    fn take_finished(&mut self, now: Micros) -> Vec<(MessageId, u32, Micros)> {
+        self.in_flight.extract_if(.., |call| now.since(call.2) >= CALL_TIME).collect()
     }
 }
 
 /// A destination of which refused calls use up the limit as others do.
-struct Limit {
+struct RateLimit {
     per_s: f64,
-    room: f64,
+    tokens: f64,
 }
 
-impl Limit {
-    fn pass(&mut self, span: Micros) {
-        self.room = (self.room + self.per_s * span.secs()).min(self.per_s * DEPTH_S);
+impl RateLimit {
+    fn refill(&mut self, span: Micros) {
+        self.tokens = (self.tokens + self.per_s * span.secs()).min(self.per_s * LIMIT_BURST_S);
     }
-    fn call(&mut self) -> Verdict {
-        self.room -= 1.0;
-        if self.room >= 0.0 { Verdict::Delivered } else { Verdict::Full(None) }
+    fn take(&mut self) -> Verdict {
+        self.tokens -= 1.0;
+        if self.tokens >= 0.0 { Verdict::Delivered } else { Verdict::Full(None) }
     }
 }
 
 /// Calls in one second.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Second {
+pub struct SecondCounts {
     pub delivered: u32,
     pub refused: u32,
     /// Delivered for each sender.
-    pub each: Vec<u32>,
+    pub delivered_by_sender: Vec<u32>,
 }
 
 /// Messages for one destination with a limit, at `offered` a second over all senders.
-pub struct Play {
+pub struct Simulation {
     pub senders: u32,
-    pub limit: f64,
+    pub limit_per_s: f64,
     /// The limit that the list tells.
-    pub weight: f64,
+    pub listed_weight: f64,
     pub seconds: usize,
     pub seed: u64,
 }
 
-impl Play {
-    pub fn run(&self, offered: impl Fn(usize) -> f64) -> Vec<Second> {
+impl Simulation {
+    pub fn run(&self, offered: impl Fn(usize) -> f64) -> Vec<SecondCounts> {
         let mut dice = StdRng::seed_from_u64(self.seed);
         let mut all: Vec<_> = (0..self.senders).map(|n| Sender::new(self.senders, n)).collect();
         let mut now = Micros(5_000_000_000);
-        all.iter_mut().for_each(|s| s.event(now, listed(self.weight)));
-        let mut limit = Limit { per_s: self.limit, room: 0.0 };
+        all.iter_mut().for_each(|s| s.handle_event(now, persisted_list(self.listed_weight)));
+        let mut limit = RateLimit { per_s: self.limit_per_s, tokens: 0.0 };
         let mut next = 0;
-        let mut seen = vec![Second { each: vec![0; all.len()], ..Second::default() }; self.seconds];
+        let mut seen =
+            vec![
+                SecondCounts { delivered_by_sender: vec![0; all.len()], ..SecondCounts::default() };
+                self.seconds
+            ];
         for (at, second) in seen.iter_mut().enumerate() {
             let chance = (offered(at) * STEP.secs() / f64::from(self.senders)).min(1.0);
             for _ in 0..STEPS_PER_S {
                 now = now.plus(STEP);
-                limit.pass(STEP);
-                for (s, delivered) in all.iter_mut().zip(&mut second.each) {
-                    s.event(now, Event::TimerFired);
+                limit.refill(STEP);
+                for (s, delivered) in all.iter_mut().zip(&mut second.delivered_by_sender) {
+                    s.handle_event(now, Event::TimerFired);
                     if dice.random_bool(chance) {
                         next += 1;
-                        s.event(now, Event::Submit(message(next)));
+                        s.handle_event(now, Event::Submit(message(next)));
                     }
-                    for (id, attempt, sent) in s.ends(now) {
-                        let verdict = limit.call();
+                    for (id, attempt, sent) in s.take_finished(now) {
+                        let verdict = limit.take();
                         let well = verdict == Verdict::Delivered;
                         *delivered += u32::from(well);
                         *(if well { &mut second.delivered } else { &mut second.refused }) += 1;
                         let elapsed = now.since(sent);
-                        s.event(now, outcome(id, attempt, verdict, elapsed));
+                        s.handle_event(now, outcome(id, attempt, verdict, elapsed));
                     }
                 }
             }
@@ -167,7 +171,7 @@
 
 fn message(id: u64) -> Message {
     let (class, destination) = (ClassId(0), DestinationId(1));
-    Message { id: MessageId(id), class, tenant: None, ordering_key: None, destination, time_left: LEFT }
+    Message { id: MessageId(id), class, tenant: None, ordering_key: None, destination, time_left: TIME_LEFT }
 }
 
 fn outcome(id: MessageId, attempt: u32, verdict: Verdict, elapsed: Micros) -> Event {
@@ -176,7 +180,7 @@
     Event::Outcome(Outcome {
         id,
         attempt,
-        receiver: TO,
+        receiver: RECEIVER,
         verdict,
         elapsed,
         finished,
@@ -187,20 +191,20 @@
 
 /// Calls for the list that all senders make in each of ten seconds from one start, if none is answered. `held`: each
 /// has a list from before.
-pub fn list_calls(senders: u32, held: bool) -> [u32; 10] {
+pub fn count_list_requests(senders: u32, held: bool) -> [u32; 10] {
     let mut calls = [0; 10];
     for number in 0..senders {
         let mut s = Sender::new(senders, number);
         let start = Micros(5_000_000_000);
-        s.event(start, if held { listed(1.0) } else { Event::TimerFired });
+        s.handle_event(start, if held { persisted_list(1.0) } else { Event::TimerFired });
         for step in 0..10 * STEPS_PER_S {
             let now = start.plus(Micros(STEP.0 * step as u64));
-            s.event(now, Event::TimerFired);
+            s.handle_event(now, Event::TimerFired);
             // The failure may have it ask again, later.
-            while s.asks > 0 {
-                s.asks -= 1;
+            while s.list_requests > 0 {
+                s.list_requests -= 1;
                 calls[step / STEPS_PER_S] += 1;
-                s.event(now, Event::ListFailed);
+                s.handle_event(now, Event::ListFailed);
             }
         }
     }
@@ -213,8 +217,8 @@
 
     const LIMIT: f64 = 80.0;
 
-    fn play(seconds: usize, offered: impl Fn(usize) -> f64) -> Vec<Second> {
-        Play { senders: 100, limit: LIMIT, weight: LIMIT, seconds, seed: 1 }.run(offered)
+    fn play(seconds: usize, offered: impl Fn(usize) -> f64) -> Vec<SecondCounts> {
+        Simulation { senders: 100, limit_per_s: LIMIT, listed_weight: LIMIT, seconds, seed: 1 }.run(offered)
     }
 
     /// Seen on the fleet's bench: at a tenth over the limit, all calls of seconds were refused, since refused ones used
@@ -244,7 +248,7 @@
     #[test]
     fn a_large_fleet_that_starts_at_once_asks_in_turn() {
         for senders in [50, 100, 200] {
-            let calls = list_calls(senders, true);
+            let calls = count_list_requests(senders, true);
             let first_calls = (f64::from(senders) / 4.2).max(1.0 / 0.06) * 1.4;
             let calls_again = f64::from(senders) / PAUSE_MEAN_S;
             assert!(f64::from(calls[0]) <= first_calls, "{senders}: {calls:?}");
@@ -256,7 +260,7 @@
     /// One that has no list can deliver nothing: it asks at once, and again within the time of a change.
     #[test]
     fn without_a_list_it_asks_at_once_and_what_fails_is_not_asked_again_by_all() {
-        let calls = list_calls(100, false);
+        let calls = count_list_requests(100, false);
         let most = 100.0 / PAUSE_MEAN_S * 1.4;
         assert!(calls[0] == 100 && calls[1..].iter().all(|c| f64::from(*c) <= most), "{calls:?}");
     }
--- a/lab/src/testbed/clients.rs
+++ b/lab/src/testbed/clients.rs
@@ -1,4 +1,5 @@
-//! Load that does not wait for answers: arrivals are drawn ahead, and each message has a connection of its own.
+//! Open-loop load: arrival times are drawn in advance, clients do not wait for responses, and each message
+//! has its own connection.
 
 use super::{Runtime, sleep};
 use crate::http::send_request;
@@ -10,34 +11,40 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+/// Clients that submit messages to the daemons of one experiment.
 pub struct Clients {
-    /// Where each daemon is; none while it is down.
-    pub at: Vec<Cell<Option<SocketAddr>>>,
-    /// Answers by status; 0 for none.
-    pub answers: RefCell<BTreeMap<u16, u64>>,
+    /// The client address of each daemon; `None` while the daemon is down.
+    pub daemon_addresses: Vec<Cell<Option<SocketAddr>>>,
+    /// Number of responses by HTTP status; status 0 counts requests without a response.
+    pub status_counts: RefCell<BTreeMap<u16, u64>>,
 }
 
 impl Clients {
-    /// `rate` messages a second at each daemon, spread over the destinations; intervals are exponential.
-    pub fn start(world: &Runtime, daemons: usize, destinations: &[u64], rate: f64, seed: u64) -> Rc<Clients> {
-        let at = (0..daemons).map(|_| Cell::new(None)).collect();
-        let clients = Rc::new(Clients { at, answers: RefCell::default() });
+    /// Starts to submit `rate` messages a second to each daemon, spread evenly over the destinations. The
+    /// intervals between messages are exponentially distributed.
+    pub fn start(
+        runtime: &Runtime, daemons: usize, destinations: &[u64], rate: f64, seed: u64,
+    ) -> Rc<Clients> {
+        let daemon_addresses = (0..daemons).map(|_| Cell::new(None)).collect();
+        let clients = Rc::new(Clients { daemon_addresses, status_counts: RefCell::default() });
         for i in 0..daemons {
-            let (this, w, destinations) = (clients.clone(), world.clone(), destinations.to_vec());
-            let mut dice = StdRng::seed_from_u64(seed.wrapping_add(i as u64));
-            world.spawn(async move {
-                let mut due = w.now();
-                let mut n = 0u64;
+            let (clients, task_runtime, destinations) =
+                (clients.clone(), runtime.clone(), destinations.to_vec());
+            let mut rng = StdRng::seed_from_u64(seed.wrapping_add(i as u64));
+            runtime.spawn(async move {
+                let mut due = task_runtime.now();
+                let mut number = 0u64;
                 loop {
-                    due += -dice.random_range(f64::MIN_POSITIVE..1.0f64).ln() / rate;
-                    let to = destinations[dice.random_range(0..destinations.len())];
-                    sleep(due - w.now()).await;
-                    n += 1;
-                    let Some(daemon) = this.at[i].get() else { continue };
-                    let this = this.clone();
-                    w.spawn(async move {
-                        let status = hand_in(daemon, &format!("m-{i}-{n}-{seed:x}"), to, 4.0).await;
-                        *this.answers.borrow_mut().entry(status).or_default() += 1;
+                    due += -rng.random_range(f64::MIN_POSITIVE..1.0f64).ln() / rate;
+                    let destination = destinations[rng.random_range(0..destinations.len())];
+                    sleep(due - task_runtime.now()).await;
+                    number += 1;
+                    let Some(daemon) = clients.daemon_addresses[i].get() else { continue };
+                    let clients = clients.clone();
+                    task_runtime.spawn(async move {
+                        let status =
+                            submit(daemon, &format!("m-{i}-{number}-{seed:x}"), destination, 4.0).await;
+                        *clients.status_counts.borrow_mut().entry(status).or_default() += 1;
                     });
                 }
             });
@@ -46,11 +53,12 @@
     }
 }
 
-/// Hands one message in that may be delivered for so many seconds: the status of its answer, 0 where none came in time.
-pub async fn hand_in(daemon: SocketAddr, id: &str, destination: u64, left: f64) -> u16 {
+/// Submits one message whose deadline is `deadline_s` seconds away. Returns the HTTP status of the response,
+/// or 0 if none arrived in time.
+pub async fn submit(daemon: SocketAddr, id: &str, destination: u64, deadline_s: f64) -> u16 {
     let request = format!(
-        "POST /status HTTP/1.1\r\nHost: app\r\nX-Request-Id: {id}\r\nX-Class: status\r\nX-Deadline: {left:.3}\r\n\
+        "POST /status HTTP/1.1\r\nHost: app\r\nX-Request-Id: {id}\r\nX-Class: status\r\nX-Deadline: {deadline_s:.3}\r\n\
          X-Envelope: dest={destination}\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi"
     );
-    send_request(daemon, &request, Duration::from_millis(400)).await.map_or(0, |a| a.0)
+    send_request(daemon, &request, Duration::from_millis(400)).await.map_or(0, |response| response.0)
 }
--- a/lab/src/testbed/discovery.rs
+++ b/lab/src/testbed/discovery.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, and the platform's end of notices.
+//! The stand-in for discovery: it serves the endpoint list and accepts the platform's notices.
 
 use super::partner::Partner;
 use super::{Runtime, sleep};
@@ -9,29 +9,33 @@
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 
+/// A discovery server with long polling. It lists the partners, or a list that the experiment published.
 pub struct Discovery {
+    /// Where the server listens.
     pub address: SocketAddr,
     partners: Vec<Rc<Partner>>,
     generation: Cell<u64>,
-    /// What is not `Ready`, by destination.
-    states: RefCell<std::collections::BTreeMap<u64, &'static str>>,
-    /// A list made ahead, in place of the partners': many destinations over few listeners.
-    told: RefCell<Option<Told>>,
-    /// Questions for the list that came.
-    pub asked: Cell<u64>,
-    /// The highest epoch under which it was asked for all, how often it came under a lower one, and how often that was
+    /// Lifecycle state by destination, for partners that are not `Ready`.
+    lifecycles: RefCell<std::collections::BTreeMap<u64, &'static str>>,
+    /// A list built in advance that replaces the list of partners: many destinations over few listeners.
+    prepared_list: RefCell<Option<PreparedList>>,
+    /// Number of requests for the list received so far.
+    pub list_requests: Cell<u64>,
+    /// The highest epoch under which any forwarder has requested the list.
+    highest_epoch: Cell<u64>,
+    /// Requests that came under a lower epoch than an earlier one: how many came, and how many of them were
     /// refused.
-    epoch: Cell<u64>,
-    pub stale: Cell<(usize, usize)>,
+    pub stale_requests: Cell<(usize, usize)>,
 }
 
-/// The whole list, and what has changed since the version before, if that can be told.
-struct Told {
-    whole: Rc<str>,
+/// Response bodies of a published list: the complete list, and the change since the previous generation if
+/// one was given.
+struct PreparedList {
+    complete: Rc<str>,
     change: Option<Rc<str>>,
 }
 
-/// One entry of a list made ahead.
+/// Returns the JSON of one entry of a list that is built in advance.
 pub fn entry_json(name: &str, at: SocketAddr, destination: u64, state: &str, weight: f64) -> String {
     format!(
         "{{\"instanceId\":\"{name}\",\"hostPort\":\"{at}\",\"zone\":\"floor-2\",\"machineType\":\"club\",\
@@ -40,103 +44,113 @@
 }
 
 impl Discovery {
-    pub fn start(world: &Runtime, partners: &[Rc<Partner>]) -> Result<Rc<Discovery>, String> {
+    /// Starts a server on loopback that lists these partners.
+    pub fn start(runtime: &Runtime, partners: &[Rc<Partner>]) -> Result<Rc<Discovery>, String> {
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).map_err(|e| e.to_string())?;
         let address = listener.get_ref().local_addr().map_err(|e| e.to_string())?;
-        let d = Discovery {
+        let discovery = Discovery {
             address,
             partners: partners.to_vec(),
             generation: Cell::new(1),
-            states: RefCell::default(),
-            told: RefCell::default(),
-            asked: Cell::new(0),
-            epoch: Cell::new(0),
-            stale: Cell::default(),
+            lifecycles: RefCell::default(),
+            prepared_list: RefCell::default(),
+            list_requests: Cell::new(0),
+            highest_epoch: Cell::new(0),
+            stale_requests: Cell::default(),
         };
-        let d = Rc::new(d);
-        let (this, w) = (d.clone(), world.clone());
-        world.spawn(async move {
+        let discovery = Rc::new(discovery);
+        let (server, task_runtime) = (discovery.clone(), runtime.clone());
+        runtime.spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                w.spawn(this.clone().serve(ServerConnection::new(stream)));
+                task_runtime.spawn(server.clone().serve(ServerConnection::new(stream)));
             }
         });
-        Ok(d)
+        Ok(discovery)
     }
 
-    pub fn list(&self) -> Value {
-        let states = self.states.borrow();
-        let state = |p: &Rc<Partner>| states.get(&p.destination).copied().unwrap_or("Ready");
-        let one = |p: &Rc<Partner>| {
-            json!({"instanceId": format!("e-{}", p.destination), "hostPort": p.address.to_string(),
-                "zone": "floor-2", "machineType": "club", "cell": p.destination, "lifecycle": state(p),
-                "weight": p.strength.per_s, "startedAtMs": 0})
+    /// Returns the complete list of the partners.
+    pub fn list_json(&self) -> Value {
+        let lifecycles = self.lifecycles.borrow();
+        let lifecycle =
+            |partner: &Rc<Partner>| lifecycles.get(&partner.destination).copied().unwrap_or("Ready");
+        let entry = |partner: &Rc<Partner>| {
+            json!({"instanceId": format!("e-{}", partner.destination),
+                "hostPort": partner.address.to_string(), "zone": "floor-2", "machineType": "club",
+                "cell": partner.destination, "lifecycle": lifecycle(partner),
+                "weight": partner.capacity_model.calls_per_s, "startedAtMs": 0})
         };
-        let all: Vec<_> = self.partners.iter().map(one).collect();
-        json!({"generation": self.generation.get(), "reset": true, "instances": all})
+        let entries: Vec<_> = self.partners.iter().map(entry).collect();
+        json!({"generation": self.generation.get(), "reset": true, "instances": entries})
     }
 
-    /// From now on the list says this of a partner.
-    pub fn tell(&self, destination: u64, state: &'static str) {
-        self.states.borrow_mut().insert(destination, state);
+    /// Sets the lifecycle state that the list gives for a partner, as a new generation.
+    pub fn set_lifecycle(&self, destination: u64, lifecycle: &'static str) {
+        self.lifecycles.borrow_mut().insert(destination, lifecycle);
         self.generation.set(self.generation.get() + 1);
     }
 
-    /// From now on the list is this one, told as a whole or, to who has the version before, as these changes.
-    pub fn publish(&self, whole: &[String], change: Option<&[String]>) {
+    /// Replaces the list with these entries, as a new generation. A client at the previous generation gets
+    /// `change` instead, if one is given.
+    pub fn publish(&self, complete: &[String], change: Option<&[String]>) {
         let generation = self.generation.get() + 1;
-        let body = |reset: bool, lines: &[String]| -> Rc<str> {
-            let lines = lines.join(",");
-            format!("{{\"generation\":{generation},\"reset\":{reset},\"instances\":[{lines}]}}").into()
+        let body = |reset: bool, entries: &[String]| -> Rc<str> {
+            let entries = entries.join(",");
+            format!("{{\"generation\":{generation},\"reset\":{reset},\"instances\":[{entries}]}}").into()
         };
-        let told = Told { whole: body(true, whole), change: change.map(|c| body(false, c)) };
-        *self.told.borrow_mut() = Some(told);
+        let prepared =
+            PreparedList { complete: body(true, complete), change: change.map(|c| body(false, c)) };
+        *self.prepared_list.borrow_mut() = Some(prepared);
         self.generation.set(generation);
     }
 
-    /// The answer to one who holds a version, or none.
-    fn answer(&self, since: Option<u64>) -> Rc<str> {
+    /// Returns the response body for a client that has the generation `since`, or has no list.
+    fn response_body(&self, since: Option<u64>) -> Rc<str> {
         let generation = self.generation.get();
         if since.is_some_and(|s| s >= generation) {
             return json!({"generation": generation, "reset": false, "instances": []}).to_string().into();
         }
-        match &*self.told.borrow() {
-            Some(Told { change: Some(change), .. }) if since == Some(generation - 1) => change.clone(),
-            Some(told) => told.whole.clone(),
-            None => self.list().to_string().into(),
+        match &*self.prepared_list.borrow() {
+            Some(PreparedList { change: Some(change), .. }) if since == Some(generation - 1) => {
+                change.clone()
+            }
+            Some(prepared) => prepared.complete.clone(),
+            None => self.list_json().to_string().into(),
         }
     }
 
-    async fn serve(self: Rc<Discovery>, mut conn: ServerConnection) {
-        while let Ok(Some(request)) = conn.next_request().await {
-            let done = if request.method == "POST" {
-                conn.respond(204, "", "").await
+    /// Handles one connection. A POST is a notice of the platform; every other request is for the list, and
+    /// waits up to `timeout_ms` for a generation later than `since`.
+    async fn serve(self: Rc<Discovery>, mut connection: ServerConnection) {
+        while let Ok(Some(request)) = connection.next_request().await {
+            let result = if request.method == "POST" {
+                connection.respond(204, "", "").await
             } else {
-                let number = |key: &str| {
-                    let at = request.path.split(['?', '&']).find_map(|p| p.strip_prefix(key));
-                    at.and_then(|n| n.parse::<u64>().ok())
+                let parameter = |key: &str| {
+                    let value = request.path.split(['?', '&']).find_map(|p| p.strip_prefix(key));
+                    value.and_then(|v| v.parse::<u64>().ok())
                 };
-                self.asked.set(self.asked.get() + 1);
+                self.list_requests.set(self.list_requests.get() + 1);
                 if let Some(epoch) = request.epoch {
-                    if epoch < self.epoch.get() {
-                        let (tried, refused) = self.stale.get();
-                        self.stale.set((tried + 1, refused + 1));
-                        if conn.respond(409, "", "").await.is_err() {
+                    if epoch < self.highest_epoch.get() {
+                        let (received, refused) = self.stale_requests.get();
+                        self.stale_requests.set((received + 1, refused + 1));
+                        if connection.respond(409, "", "").await.is_err() {
                             return;
                         }
                         continue;
                     }
-                    self.epoch.set(epoch);
+                    self.highest_epoch.set(epoch);
                 }
-                let mut left = number("timeout_ms=").unwrap_or(0) as f64 / 1000.0;
-                let since = number("since=");
-                while since.is_some_and(|s| s >= self.generation.get()) && left > 0.0 {
+                let mut wait_left_s = parameter("timeout_ms=").unwrap_or(0) as f64 / 1000.0;
+                let since = parameter("since=");
+                while since.is_some_and(|s| s >= self.generation.get()) && wait_left_s > 0.0 {
                     sleep(0.02).await;
-                    left -= 0.02;
+                    wait_left_s -= 0.02;
                 }
-                let body = self.answer(since);
-                conn.respond(200, "", &body).await
+                let body = self.response_body(since);
+                connection.respond(200, "", &body).await
             };
-            if done.is_err() {
+            if result.is_err() {
                 return;
             }
         }
--- a/lab/src/testbed/faults.rs
+++ b/lab/src/testbed/faults.rs
@@ -1,4 +1,5 @@
-//! What goes wrong between daemons, by a fixed seed, and a record of what did and when.
+//! Faults of the network between daemons, drawn from a fixed seed, and a record of the faults that were
+//! injected.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -6,111 +7,123 @@
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How the way from one daemon to another treats what goes over it.
+/// How the link from one daemon to another treats its datagrams.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Link {
-    /// This share is lost.
+pub struct LinkFaults {
+    /// Share of the datagrams that is lost.
     pub loss: f64,
-    /// Seconds that a datagram takes, drawn evenly up to this: they overtake each other.
+    /// Maximum delay in seconds; the delay is drawn evenly from 0 up to it, so that datagrams are reordered.
     pub delay: f64,
-    /// This share comes twice.
-    pub twice: f64,
+    /// Share of the datagrams that is delivered twice.
+    pub duplication: f64,
 }
 
-/// What becomes of one datagram.
+/// What the network does with one datagram.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Fate {
-    Lost,
-    /// It waits until the daemon that sent it goes on.
-    Held,
-    /// It arrives after each of these, in seconds.
-    Arrives(Vec<f64>),
+pub enum DatagramAction {
+    Drop,
+    /// Keep the datagram until the daemon that sent it is unfrozen.
+    Hold,
+    /// Deliver one copy after each of these delays, in seconds.
+    Deliver(Vec<f64>),
 }
 
-/// One fault, for the report.
+/// One injected fault, for the report.
 #[derive(Clone, Debug, Serialize)]
 pub struct FaultRecord {
+    /// Seconds since the experiment began.
     pub at_s: f64,
     pub what: String,
 }
 
+/// The faults in force, by member or by ordered pair of members.
 pub struct Faults {
-    dice: RefCell<StdRng>,
-    /// What the first says does not reach the second.
+    rng: RefCell<StdRng>,
+    /// Links, from the first member to the second, on which every datagram is lost.
     cut: RefCell<BTreeSet<(usize, usize)>>,
-    links: RefCell<BTreeMap<(usize, usize), Link>>,
-    /// What these send does not leave their machine, which stands still with them.
+    link_faults: RefCell<BTreeMap<(usize, usize), LinkFaults>>,
+    /// Members whose machine is frozen: the datagrams that they send are held.
     frozen: RefCell<BTreeSet<usize>>,
-    record: RefCell<Vec<FaultRecord>>,
-    pub lost: Cell<u64>,
-    pub delayed: Cell<u64>,
+    records: RefCell<Vec<FaultRecord>>,
+    /// Number of datagrams dropped by a cut or by loss.
+    pub datagrams_lost: Cell<u64>,
+    /// Number of datagrams delivered over a link with a delay.
+    pub datagrams_delayed: Cell<u64>,
 }
 
 impl Faults {
+    /// Starts without faults.
     pub fn new(seed: u64) -> Faults {
         Faults {
-            dice: RefCell::new(StdRng::seed_from_u64(seed)),
+            rng: RefCell::new(StdRng::seed_from_u64(seed)),
             cut: RefCell::default(),
-            links: RefCell::default(),
+            link_faults: RefCell::default(),
             frozen: RefCell::default(),
-            record: RefCell::default(),
-            lost: Cell::new(0),
-            delayed: Cell::new(0),
+            records: RefCell::default(),
+            datagrams_lost: Cell::new(0),
+            datagrams_delayed: Cell::new(0),
         }
     }
 
-    pub fn fate(&self, from: usize, to: usize) -> Fate {
+    /// Decides what happens to a datagram of member `from` for member `to`.
+    pub fn decide(&self, from: usize, to: usize) -> DatagramAction {
         if self.cut.borrow().contains(&(from, to)) {
-            self.lost.set(self.lost.get() + 1);
-            return Fate::Lost;
+            self.datagrams_lost.set(self.datagrams_lost.get() + 1);
+            return DatagramAction::Drop;
         }
         if self.frozen.borrow().contains(&from) {
-            return Fate::Held;
+            return DatagramAction::Hold;
         }
-        let Some(link) = self.links.borrow().get(&(from, to)).copied() else {
-            return Fate::Arrives(vec![0.0]);
+        let Some(link) = self.link_faults.borrow().get(&(from, to)).copied() else {
+            return DatagramAction::Deliver(vec![0.0]);
         };
-        let mut dice = self.dice.borrow_mut();
-        if dice.random_bool(link.loss) {
-            self.lost.set(self.lost.get() + 1);
-            return Fate::Lost;
+        let mut rng = self.rng.borrow_mut();
+        if rng.random_bool(link.loss) {
+            self.datagrams_lost.set(self.datagrams_lost.get() + 1);
+            return DatagramAction::Drop;
         }
-        let times = 1 + usize::from(dice.random_bool(link.twice));
-        self.delayed.set(self.delayed.get() + u64::from(link.delay > 0.0));
-        Fate::Arrives((0..times).map(|_| dice.random_range(0.0..=link.delay)).collect())
+        let copies = 1 + usize::from(rng.random_bool(link.duplication));
+        self.datagrams_delayed.set(self.datagrams_delayed.get() + u64::from(link.delay > 0.0));
+        DatagramAction::Deliver((0..copies).map(|_| rng.random_range(0.0..=link.delay)).collect())
     }
 
-    pub fn note(&self, at_s: f64, what: impl Into<String>) {
+    /// Records an injected fault.
+    pub fn record_fault(&self, at_s: f64, what: impl Into<String>) {
         let at_s = (at_s * 1000.0).round() / 1000.0;
-        self.record.borrow_mut().push(FaultRecord { at_s, what: what.into() });
+        self.records.borrow_mut().push(FaultRecord { at_s, what: what.into() });
     }
 
-    pub fn cut(&self, ways: impl IntoIterator<Item = (usize, usize)>) {
-        self.cut.borrow_mut().extend(ways);
+    /// Drops every datagram on these links from now on.
+    pub fn cut(&self, links: impl IntoIterator<Item = (usize, usize)>) {
+        self.cut.borrow_mut().extend(links);
     }
 
-    /// Every way among so many.
-    pub fn all(&self, members: usize, link: Link) {
-        let ways = (0..members).flat_map(|a| (0..members).map(move |b| (a, b)));
-        self.links.borrow_mut().extend(ways.map(|way| (way, link)));
+    /// Sets the faults of all links among the members.
+    pub fn set_all_links(&self, members: usize, faults: LinkFaults) {
+        let links = (0..members).flat_map(|a| (0..members).map(move |b| (a, b)));
+        self.link_faults.borrow_mut().extend(links.map(|link| (link, faults)));
     }
 
+    /// Holds the datagrams that this member sends until it is unfrozen.
     pub fn freeze(&self, from: usize) {
         self.frozen.borrow_mut().insert(from);
     }
 
-    pub fn thaw(&self, from: usize) {
+    /// Lets new datagrams of this member pass; those already held are released by
+    /// [`super::network::Network`].
+    pub fn unfreeze(&self, from: usize) {
         self.frozen.borrow_mut().remove(&from);
     }
 
-    /// All is well again, but for what is frozen.
+    /// Removes all cuts and link faults; frozen members stay frozen.
     pub fn heal(&self) {
         self.cut.borrow_mut().clear();
-        self.links.borrow_mut().clear();
+        self.link_faults.borrow_mut().clear();
     }
 
-    pub fn record(&self) -> Vec<FaultRecord> {
-        self.record.borrow().clone()
+    /// The faults recorded so far.
+    pub fn records(&self) -> Vec<FaultRecord> {
+        self.records.borrow().clone()
     }
 }
 
@@ -119,23 +132,36 @@
     use super::*;
 
     #[test]
-    fn each_fault_does_what_it_says_and_a_seed_gives_the_same_again() {
+    fn faults_have_their_configured_effect_and_are_reproducible_by_seed() {
         let draw = |seed| {
-            let f = Faults::new(seed);
-            f.all(3, Link { loss: 0.3, delay: 0.5, twice: 0.2 });
-            (0..2000).map(|_| f.fate(0, 1)).collect::<Vec<_>>()
+            let faults = Faults::new(seed);
+            faults.set_all_links(3, LinkFaults { loss: 0.3, delay: 0.5, duplication: 0.2 });
+            (0..2000).map(|_| faults.decide(0, 1)).collect::<Vec<_>>()
         };
-        let fates = draw(4);
-        assert_eq!(fates, draw(4));
-        let lost = fates.iter().filter(|f| **f == Fate::Lost).count();
-        let twice = fates.iter().filter(|f| matches!(f, Fate::Arrives(t) if t.len() == 2)).count();
-        assert!((500..700).contains(&lost) && (200..360).contains(&twice), "{lost} lost, {twice} twice");
-        let f = Faults::new(1);
-        f.cut([(0, 1)]);
-        f.freeze(1);
-        assert_eq!((f.fate(0, 1), f.fate(1, 0)), (Fate::Lost, Fate::Held), "a way is cut, not its way back");
-        f.heal();
-        f.thaw(1);
-        assert_eq!((f.fate(0, 1), f.fate(1, 0)), (Fate::Arrives(vec![0.0]), Fate::Arrives(vec![0.0])));
+        let actions = draw(4);
+        assert_eq!(actions, draw(4));
+        let lost = actions.iter().filter(|action| **action == DatagramAction::Drop).count();
+        let duplicated = actions
+            .iter()
+            .filter(|action| matches!(action, DatagramAction::Deliver(delays) if delays.len() == 2))
+            .count();
+        assert!(
+            (500..700).contains(&lost) && (200..360).contains(&duplicated),
+            "{lost} lost, {duplicated} duplicated"
+        );
+        let faults = Faults::new(1);
+        faults.cut([(0, 1)]);
+        faults.freeze(1);
+        assert_eq!(
+            (faults.decide(0, 1), faults.decide(1, 0)),
+            (DatagramAction::Drop, DatagramAction::Hold),
+            "a cut of one direction must not cut the reverse direction"
+        );
+        faults.heal();
+        faults.unfreeze(1);
+        assert_eq!(
+            (faults.decide(0, 1), faults.decide(1, 0)),
+            (DatagramAction::Deliver(vec![0.0]), DatagramAction::Deliver(vec![0.0]))
+        );
     }
 }
--- a/lab/src/testbed/mod.rs
+++ b/lab/src/testbed/mod.rs
@@ -1,4 +1,4 @@
-//! The stand-ins, and what they share.
+//! Stand-ins for everything around the daemons, and the runtime that they share.
 
 pub mod clients;
 pub mod discovery;
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The one clock of an experiment, and where its tasks run.
+/// The clock of an experiment and the executor of its tasks. Clones share both.
 #[derive(Clone)]
 pub struct Runtime {
     pub executor: Rc<LocalExecutor<'static>>,
@@ -30,23 +30,26 @@
     pub fn now(&self) -> f64 {
         self.started.elapsed().as_secs_f64()
     }
+    /// Starts a task in the background.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         self.executor.spawn(task).detach();
     }
 }
 
+/// Sleeps for this many seconds; a negative duration counts as zero.
 pub async fn sleep(secs: f64) {
     Timer::after(Duration::from_secs_f64(secs.max(0.0))).await;
 }
 
-/// How often the stand-ins look how late they are.
-const LATENESS_LOOK_S: f64 = 0.02;
+/// Interval at which the lateness of the stand-ins is measured.
+const LATENESS_CHECK_INTERVAL_S: f64 = 0.02;
 
-/// How late the stand-ins are: they share one thread.
-pub async fn monitor_lateness(world: Runtime, lateness: Rc<Cell<f64>>) {
+/// Keeps the maximum of how late, in seconds, a timer fires. All stand-ins share one thread: a late timer
+/// means that they respond late too.
+pub async fn monitor_lateness(runtime: Runtime, lateness: Rc<Cell<f64>>) {
     loop {
-        let due = world.now() + LATENESS_LOOK_S;
-        sleep(LATENESS_LOOK_S).await;
-        lateness.set(lateness.get().max(world.now() - due));
+        let due = runtime.now() + LATENESS_CHECK_INTERVAL_S;
+        sleep(LATENESS_CHECK_INTERVAL_S).await;
+        lateness.set(lateness.get().max(runtime.now() - due));
     }
 }
