--- a/lab/src/testbed/clients.rs
+++ b/lab/src/testbed/clients.rs
@@ -53,12 +53,12 @@
     }
 }
 
-/// Submits one message whose deadline is `deadline_s` seconds away. Returns the HTTP status of the response,
+/// Submits one message whose deadline is in `left_s` seconds. Returns the HTTP status of the response,
 /// or 0 if none arrived in time.
-pub async fn submit(daemon: SocketAddr, id: &str, destination: u64, deadline_s: f64) -> u16 {
+pub async fn submit(daemon: SocketAddr, id: &str, destination: u64, left_s: f64) -> u16 {
     let request = format!(
-        "POST /status HTTP/1.1\r\nHost: app\r\nX-Request-Id: {id}\r\nX-Class: status\r\nX-Deadline: {deadline_s:.3}\r\n\
-         X-Envelope: dest={destination}\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi"
+        "POST /status HTTP/1.1\r\nHost: app\r\nX-Request-Id: {id}\r\nX-Class: status\r\n\
+         X-Deadline: {left_s:.3}\r\nX-Envelope: dest={destination}\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi"
     );
     send_request(daemon, &request, Duration::from_millis(400)).await.map_or(0, |response| response.0)
 }
