--- a/lab/src/experiments/fleet_limit.rs
+++ b/lab/src/experiments/fleet_limit.rs
@@ -1,18 +1,22 @@
-//! A limit that many senders overrun together, and the calls for the list when all start at once. No daemon runs here:
-//! the modules alone, on a clock of the experiment's own.
+//! A fleet of senders that together exceed the rate limit of a destination, and the requests for the list
+//! when all of them start at once. No daemon runs here: the policy engines run alone, on a virtual clock.
 
 use super::ExperimentContext;
 use crate::report::{Claim, Report};
 use crate::senders::{SecondCounts, Simulation, count_list_requests};
 use serde_json::{Value, json};
 
+/// Rate limit of the destination.
 const LIMIT_PER_S: f64 = 80.0;
-/// Of what the limit allows and is offered, at an overrun of more than a third.
+/// Minimum share of the calls that are both offered and within the limit, under a load more than a third over
+/// the limit.
 const MIN_DELIVERED_SHARE: f64 = 0.75;
+/// Maximum share of refused calls under the same load.
 const MAX_REFUSED_SHARE: f64 = 0.15;
-/// One for each 60 ms, in a second in which second turns come too.
+/// First requests are spread to one in 60 ms; a second in which repeated requests arrive as well has more.
 const MAX_LIST_REQUESTS_PER_S: f64 = 24.0;
 
+/// A name, and the messages a second over all senders at each second.
 type LoadProfile = (&'static str, fn(usize) -> f64);
 const LOAD_PROFILES: [LoadProfile; 3] = [
     ("overrun", |s| if s < 5 { 60.0 } else { 110.0 }),
@@ -20,44 +24,44 @@
     ("clumps", |s| if s % 12 > 9 { 160.0 } else { 60.0 }),
 ];
 
-/// Delivered, refused, and how far the senders' own deliveries lie apart: the deviation over the mean.
-fn summarize(seen: &[SecondCounts]) -> (f64, f64, f64) {
-    let delivered = seen.iter().map(|s| f64::from(s.delivered)).sum::<f64>();
-    let refused = seen.iter().map(|s| f64::from(s.refused)).sum();
-    let senders = seen.first().map_or(0, |s| s.delivered_by_sender.len());
-    let each = |n: usize| seen.iter().map(|s| f64::from(s.delivered_by_sender[n])).sum::<f64>();
+/// Returns the delivered calls, the refused calls, and the coefficient of variation (standard deviation over
+/// mean) of the senders' deliveries.
+fn summarize(counts: &[SecondCounts]) -> (f64, f64, f64) {
+    let delivered = counts.iter().map(|s| f64::from(s.delivered)).sum::<f64>();
+    let refused = counts.iter().map(|s| f64::from(s.refused)).sum();
+    let senders = counts.first().map_or(0, |s| s.delivered_by_sender.len());
+    let delivered_by =
+        |sender: usize| counts.iter().map(|s| f64::from(s.delivered_by_sender[sender])).sum::<f64>();
     let mean = delivered / senders as f64;
-    let spread = (0..senders).map(|n| (each(n) - mean).powi(2)).sum::<f64>() / senders as f64;
-    (delivered, refused, spread.sqrt() / mean)
+    let variance = (0..senders).map(|n| (delivered_by(n) - mean).powi(2)).sum::<f64>() / senders as f64;
+    (delivered, refused, variance.sqrt() / mean)
 }
 
-pub async fn limit(setup: &ExperimentContext) -> Result<Report, String> {
-    let (seeds, sizes): (u64, &[u32]) = if setup.short { (1, &[100]) } else { (8, &[2, 10, 50, 100]) };
+/// Runs all load profiles at several sizes of the fleet.
+pub async fn limit(context: &ExperimentContext) -> Result<Report, String> {
+    let (seeds, sizes): (u64, &[u32]) = if context.short { (1, &[100]) } else { (8, &[2, 10, 50, 100]) };
     let (mut claims, mut figures) = (Vec::new(), serde_json::Map::new());
     for &senders in sizes {
-        let mut all = (0.0, 0.0);
+        let mut totals = (0.0, 0.0);
         for (name, offered) in LOAD_PROFILES {
-            let (mut delivered, mut refused, mut spread) = (0.0, 0.0, 0.0f64);
-            for (seed, weight) in (0..seeds).flat_map(|s| [(s, 55.0), (s, 80.0), (s, 115.0)]) {
-                let play = Simulation {
-                    senders,
-                    limit_per_s: LIMIT_PER_S,
-                    listed_weight: weight,
-                    seconds: 30,
-                    seed,
-                };
-                let (d, r, apart) = summarize(&play.run(offered));
-                (delivered, refused, spread) = (delivered + d, refused + r, spread.max(apart));
+            let (mut delivered, mut refused, mut max_variation) = (0.0, 0.0, 0.0f64);
+            for (seed, listed_weight) in (0..seeds).flat_map(|s| [(s, 55.0), (s, 80.0), (s, 115.0)]) {
+                let simulation =
+                    Simulation { senders, limit_per_s: LIMIT_PER_S, listed_weight, seconds: 30, seed };
+                let (run_delivered, run_refused, variation) = summarize(&simulation.run(offered));
+                (delivered, refused, max_variation) =
+                    (delivered + run_delivered, refused + run_refused, max_variation.max(variation));
             }
-            let plays = seeds as f64 * 3.0;
-            let wanted: f64 = (0..30).map(|s| offered(s).min(LIMIT_PER_S)).sum::<f64>() * plays;
-            let whole = |x: f64| (x / plays).round();
-            let figure = json!({"delivered": whole(delivered), "refused": whole(refused),
-                "share": (delivered / wanted * 1e3).round() / 1e3, "spread_most": (spread * 100.0).round() / 100.0});
+            let runs = seeds as f64 * 3.0;
+            let possible: f64 = (0..30).map(|s| offered(s).min(LIMIT_PER_S)).sum::<f64>() * runs;
+            let mean_per_run = |sum: f64| (sum / runs).round();
+            let figure = json!({"delivered": mean_per_run(delivered), "refused": mean_per_run(refused),
+                "share": (delivered / possible * 1e3).round() / 1e3,
+                "spread_most": (max_variation * 100.0).round() / 100.0});
             figures.insert(format!("{name}_{senders}"), figure);
-            all = (all.0 + delivered, all.1 + refused);
+            totals = (totals.0 + delivered, totals.1 + refused);
             if senders == 100 && name == "overrun" {
-                claims.push(Claim::at_least("delivered", delivered / wanted, MIN_DELIVERED_SHARE, "share"));
+                claims.push(Claim::at_least("delivered", delivered / possible, MIN_DELIVERED_SHARE, "share"));
                 claims.push(Claim::at_most(
                     "refused",
                     refused / (delivered + refused),
@@ -66,15 +70,15 @@
                 ));
             }
         }
-        figures.insert(format!("all_{senders}"), json!([all.0, all.1]));
-        setup.log_progress(&format!("{senders} senders"));
+        figures.insert(format!("all_{senders}"), json!([totals.0, totals.1]));
+        context.log_progress(&format!("finished the simulations with {senders} senders"));
     }
-    let most = count_list_requests(100, true).into_iter().max().unwrap_or(u32::MAX);
-    claims.push(Claim::at_most("list_calls", f64::from(most), MAX_LIST_REQUESTS_PER_S, "a second"));
+    let max_requests = count_list_requests(100, true).into_iter().max().unwrap_or(u32::MAX);
+    claims.push(Claim::at_most("list_calls", f64::from(max_requests), MAX_LIST_REQUESTS_PER_S, "a second"));
     figures.insert("list_calls_without_a_list".into(), json!(count_list_requests(100, false)));
     Ok(Report {
         experiment: "fleet-limit".into(),
-        short: setup.short,
+        short: context.short,
         claims,
         figures: Value::Object(figures),
     })
--- a/lab/src/experiments/soak.rs
+++ b/lab/src/experiments/soak.rs
@@ -1,4 +1,4 @@
-//! The soak test as an experiment: no rule is broken, whatever overlaps.
+//! The soak test as an experiment: it claims that no rule is broken under overlapping faults.
 
 use super::ExperimentContext;
 use crate::report::{Claim, Report};
@@ -6,21 +6,24 @@
 use crate::soak::{Soak, play};
 use serde_json::json;
 
-/// A line of a violation is worth seeing; of many the first ones tell.
+/// How many violations the report quotes. If there are many, the first ones are enough to find the cause.
 const MAX_REPORTED_LINES: usize = 40;
-/// A run in which hardly anything is delivered shows nothing.
+/// Minimum share of the accepted messages that is delivered: a run that delivers hardly anything proves
+/// nothing.
 const MIN_DELIVERED_SHARE: f64 = 0.5;
-/// Beyond this the stand-ins were too late to judge anything.
+/// Maximum lateness of the stand-ins' timers. With more, their records are too inaccurate to judge the
+/// daemons.
 const MAX_LATENESS_S: f64 = 0.25;
 
-/// The long and the short form.
-fn size(setup: &ExperimentContext) -> Soak {
-    let (daemons, seconds) = if setup.short { (8, 12.0) } else { (24, 30.0) };
-    Soak { daemons, destinations: 6, servers_each: 2, rate: 6.0, seconds, seed: setup.seed }
+/// Returns the parameters of the full or the short form.
+fn soak_parameters(context: &ExperimentContext) -> Soak {
+    let (daemons, seconds) = if context.short { (8, 12.0) } else { (24, 30.0) };
+    Soak { daemons, destinations: 6, servers_each: 2, rate: 6.0, seconds, seed: context.seed }
 }
 
-pub async fn run(setup: &ExperimentContext) -> Result<Report, String> {
-    let outcome = play(setup, size(setup)).await?;
+/// Runs the soak test and turns its verdict into claims.
+pub async fn run(context: &ExperimentContext) -> Result<Report, String> {
+    let outcome = play(context, soak_parameters(context)).await?;
     let mut claims: Vec<_> = RULES
         .iter()
         .map(|rule| Claim::at_most(rule, outcome.verdict.count(rule) as f64, 0.0, "violations"))
@@ -40,5 +43,5 @@
     figures["violations"] = json!(lines);
     figures["crashes"] = json!(outcome.crashes);
     figures["faults_not_met"] = json!(outcome.not_met);
-    Ok(Report { experiment: "soak-faults".into(), short: setup.short, claims, figures })
+    Ok(Report { experiment: "soak-faults".into(), short: context.short, claims, figures })
 }
--- a/lab/src/testbed/clients.rs
+++ b/lab/src/testbed/clients.rs
@@ -58,7 +58,8 @@
 pub async fn submit(daemon: SocketAddr, id: &str, destination: u64, left_s: f64) -> u16 {
     let request = format!(
         "POST /status HTTP/1.1\r\nHost: app\r\nX-Request-Id: {id}\r\nX-Class: status\r\n\
-         X-Deadline: {left_s:.3}\r\nX-Envelope: dest={destination}\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi"
+         X-Deadline: {left_s:.3}\r\nX-Envelope: dest={destination}\r\nConnection: close\r\n\
+         Content-Length: 2\r\n\r\nhi"
     );
     send_request(daemon, &request, Duration::from_millis(400)).await.map_or(0, |response| response.0)
 }
