--- a/lab/src/experiments/idle.rs
+++ b/lab/src/experiments/idle.rs
@@ -374,7 +374,7 @@
     send_to_both(1, 30, 2.0).await;
     context.log_progress("no messages for 14 s");
     sleep(8.0).await;
-    // After deactivation, events such as a new list must not activate a destination.
+    // Wait until the idle daemon has handled some event; in this time at least a request for the list ends.
     sleep(6.0).await;
     let active_when_idle =
         counter(&setups[0].0, "awake").await.ok_or("the daemon did not return its counters")?;
--- a/lab/src/experiments/lease.rs
+++ b/lab/src/experiments/lease.rs
@@ -1,5 +1,6 @@
-//! Leases under stalls, cuts, loss, delay, and voters that are killed and wiped: what the receivers of what is done under
-//! them saw. Nothing here believes a holder of itself but who holds what.
+//! Leases under stalls, cuts, loss and delay, and with voters that are killed and wiped. The effects of
+//! leases are judged by what their receivers saw; a daemon's own report counts only for the leases that it
+//! holds.
 
 use super::ExperimentContext;
 use super::cluster::{Cluster, Plan};
@@ -12,11 +13,12 @@
 
 const LEASE_S: f64 = 1.2;
 const PROBES_PER_S: f64 = 2.0;
-/// Between two beginnings of one doing, see `onyxrock-sharing`.
+/// Minimum interval between the starts of two runs of a duty, see `onyxrock-sharing`.
 const MIN_PROBE_INTERVAL_S: f64 = 1.1 / PROBES_PER_S;
-/// From the last sign of life to the lease of another.
+/// Maximum time from the last sign of life of a holder until another member holds the lease.
 const MAX_HANDOVER_MS: f64 = (LEASE_S + 2.0 * MIN_PROBE_INTERVAL_S) * 1000.0;
-/// No duty is without a holder for longer: a hand-over, and one more where it goes to one that has just lost a voter.
+/// Maximum time in which a duty has no holder: one handover, and a second one if the new holder has just lost
+/// a voter.
 const MAX_UNHELD_MS: f64 = 2.0 * MAX_HANDOVER_MS;
 const COORDINATOR_DUTY: (&str, u64) = ("coordinator", 0);
 
@@ -38,49 +40,55 @@
     }
 }
 
+/// A duty by its kind and target.
 type Duty = (String, u64);
 
-/// What is seen of leases from outside.
+/// What polling the daemons shows of their leases.
 #[derive(Default)]
 struct LeaseObserver {
-    /// Whose each epoch of each duty was, and in which life.
+    /// The daemon that held each epoch of each duty, with how often that daemon had been started.
     holder_by_epoch: BTreeMap<(Duty, u64), (usize, u32)>,
+    /// Number of times that an epoch was seen with a second holder.
     reused_epochs: usize,
-    /// When each duty was last seen held.
+    /// When each duty was last seen with a holder.
     last_held: BTreeMap<Duty, f64>,
     longest_unheld_ms: f64,
-    /// The longest such time: when it ended, and of what.
+    /// The duty that had no holder for the longest time, and when that time ended.
     longest_unheld_duty: String,
-    /// The same while the net loses and delays, and until all is settled after it: no bound is known for that.
+    /// Whether the network loses and delays datagrams, or the cluster is still settling after that. The time
+    /// without a holder has no known bound then, so it is measured separately.
     links_are_lossy: bool,
     longest_unheld_lossy_ms: f64,
-    /// When a holder stopped answering, whom it was, and the duties it had.
+    /// When a holder stopped responding, which daemon it was, and those of its duties that no other daemon
+    /// holds yet.
     holder_losses: Vec<(f64, usize, BTreeSet<Duty>)>,
     handovers_ms: Vec<f64>,
     last_holder: BTreeMap<Duty, usize>,
 }
 
 impl LeaseObserver {
-    async fn observe_until(&mut self, c: &Cluster, setup: &ExperimentContext, until: f64) {
-        while setup.runtime.now() < until {
-            let leases = c.leases().await;
-            let now = setup.runtime.now();
-            for (kind, of, epoch, who, life) in leases {
-                let duty = (kind, of);
-                let whose = *self.holder_by_epoch.entry((duty.clone(), epoch)).or_insert((who, life));
-                self.reused_epochs += usize::from(whose != (who, life));
-                let before = self.last_held.insert(duty.clone(), now);
-                let unheld = before.map_or(0.0, |t| (now - t) * 1000.0);
+    /// Polls the daemons for their leases until this time.
+    async fn observe_until(&mut self, cluster: &Cluster, context: &ExperimentContext, until: f64) {
+        while context.runtime.now() < until {
+            let leases = cluster.leases().await;
+            let now = context.runtime.now();
+            for (kind, target, epoch, holder, start_count) in leases {
+                let duty = (kind, target);
+                let first_holder =
+                    *self.holder_by_epoch.entry((duty.clone(), epoch)).or_insert((holder, start_count));
+                self.reused_epochs += usize::from(first_holder != (holder, start_count));
+                let held_before = self.last_held.insert(duty.clone(), now);
+                let unheld_ms = held_before.map_or(0.0, |t| (now - t) * 1000.0);
                 if self.links_are_lossy {
-                    self.longest_unheld_lossy_ms = self.longest_unheld_lossy_ms.max(unheld);
-                } else if unheld > self.longest_unheld_ms {
-                    self.longest_unheld_ms = unheld;
+                    self.longest_unheld_lossy_ms = self.longest_unheld_lossy_ms.max(unheld_ms);
+                } else if unheld_ms > self.longest_unheld_ms {
+                    self.longest_unheld_ms = unheld_ms;
                     self.longest_unheld_duty = format!("{} {}, until {now:.1} s", duty.0, duty.1);
                 }
-                self.last_holder.insert(duty.clone(), who);
-                for (at, from, duties) in &mut self.holder_losses {
-                    if who != *from && duties.remove(&duty) {
-                        self.handovers_ms.push((now - *at) * 1000.0);
+                self.last_holder.insert(duty.clone(), holder);
+                for (lost_at, lost_holder, duties) in &mut self.holder_losses {
+                    if holder != *lost_holder && duties.remove(&duty) {
+                        self.handovers_ms.push((now - *lost_at) * 1000.0);
                     }
                 }
             }
@@ -88,10 +96,11 @@
         }
     }
 
-    /// From now on this one answers nobody.
-    fn record_holder_loss(&mut self, now: f64, who: usize) {
-        let duties = self.last_holder.iter().filter(|(_, o)| **o == who).map(|(d, _)| d.clone()).collect();
-        self.holder_losses.push((now, who, duties));
+    /// Records that a daemon does not respond to any other member from now on.
+    fn record_holder_loss(&mut self, now: f64, holder: usize) {
+        let duties =
+            self.last_holder.iter().filter(|(_, h)| **h == holder).map(|(duty, _)| duty.clone()).collect();
+        self.holder_losses.push((now, holder, duties));
     }
 
     fn coordinator(&self) -> usize {
@@ -99,52 +108,55 @@
     }
 }
 
-/// What receivers saw of effects that came under an epoch lower than one before: how many, and how many they refused.
+/// Effects that their receivers saw under a lower epoch than an earlier effect of the same duty.
 #[derive(Default)]
 struct StaleEffects {
     received: usize,
+    /// How many of them the receiver refused.
     refused: usize,
+    /// Pairs of probes that ran at the same time under two leases of one duty.
     concurrent: usize,
 }
 
 impl StaleEffects {
-    fn count_probes(&mut self, c: &Cluster) {
-        for p in &c.partners {
-            let hits = p.calls.borrow();
-            let mut seen = 0;
-            for (i, h) in hits.iter().enumerate().filter(|(_, h)| h.is_probe) {
-                if h.epoch < seen {
+    /// Adds the probes that the partners received.
+    fn count_probes(&mut self, cluster: &Cluster) {
+        for partner in &cluster.partners {
+            let calls = partner.calls.borrow();
+            let mut highest_epoch = 0;
+            for (i, probe) in calls.iter().enumerate().filter(|(_, call)| call.is_probe) {
+                if probe.epoch < highest_epoch {
                     self.received += 1;
-                    self.refused += usize::from(h.status == 409);
+                    self.refused += usize::from(probe.status == 409);
                 }
-                seen = seen.max(h.epoch);
+                highest_epoch = highest_epoch.max(probe.epoch);
                 // Two leases of one duty that act at the same time.
-                let other = |o: &&crate::testbed::partner::ReceivedCall| {
-                    o.is_probe && o.epoch != h.epoch && o.status != 409
+                let of_other_lease = |call: &&crate::testbed::partner::ReceivedCall| {
+                    call.is_probe && call.epoch != probe.epoch && call.status != 409
                 };
-                let at_once = hits[..i]
+                let concurrent = calls[..i]
                     .iter()
                     .rev()
                     .take(64)
-                    .filter(other)
-                    .filter(|o| o.ended_at > h.received_at)
+                    .filter(of_other_lease)
+                    .filter(|call| call.ended_at > probe.received_at)
                     .count();
-                self.concurrent += if h.status == 409 { 0 } else { at_once };
+                self.concurrent += if probe.status == 409 { 0 } else { concurrent };
             }
         }
     }
 
-    /// What daemons wrote down of the news that they were told. A new life has seen nothing yet.
-    fn count_member_messages(&mut self, c: &Cluster) {
-        for d in &c.daemons {
-            let mut seen: BTreeMap<String, u64> = BTreeMap::new();
-            for line in d.log_lines_containing("duties: ") {
+    /// Adds the messages of members, from the daemons' logs. A restarted daemon has not seen any epoch yet.
+    fn count_member_messages(&mut self, cluster: &Cluster) {
+        for daemon in &cluster.daemons {
+            let mut highest_epochs: BTreeMap<String, u64> = BTreeMap::new();
+            for line in daemon.log_lines_containing("duties: ") {
                 if line.contains("duties: a new life") {
-                    seen.clear();
+                    highest_epochs.clear();
                 }
                 let field = |key: &str| {
-                    let at = line.split_whitespace().find_map(|w| w.strip_prefix(key));
-                    at.map(|v| v.trim_matches('"').to_owned())
+                    let value = line.split_whitespace().find_map(|word| word.strip_prefix(key));
+                    value.map(|v| v.trim_matches('"').to_owned())
                 };
                 let (Some(duty), Some(epoch), Some(admitted)) =
                     (field("told="), field("epoch="), field("admitted="))
@@ -152,128 +164,154 @@
                     continue;
                 };
                 let epoch = epoch.parse().unwrap_or(0);
-                let highest = seen.entry(duty).or_default();
-                if epoch < *highest {
+                let highest_epoch = highest_epochs.entry(duty).or_default();
+                if epoch < *highest_epoch {
                     self.received += 1;
                     self.refused += usize::from(admitted == "false");
                 }
-                *highest = epoch.max(*highest);
+                *highest_epoch = epoch.max(*highest_epoch);
             }
         }
     }
 }
 
-pub async fn stall(setup: &ExperimentContext) -> Result<Report, String> {
-    let mut c = Cluster::start(setup, plan()).await?;
-    c.partners.iter().for_each(|p| p.mode.set(Mode::Failing(0.15)));
-    let took = c.wait_until_settled(30.0).await.ok_or("the duties found no owners within 30 s")?;
-    setup.log_progress(&format!("each of 20 probes has one owner after {took:.1} s"));
-    let mut w = LeaseObserver::default();
-    let now = || setup.runtime.now();
-    let tell = |c: &Cluster, what: String| {
-        setup.log_progress(&what);
-        c.network.faults.record_fault(setup.runtime.now(), what);
+/// Stalls and cuts off the coordinator, makes all links lossy, and kills the voters, one fault after the
+/// other.
+pub async fn stall(context: &ExperimentContext) -> Result<Report, String> {
+    let mut cluster = Cluster::start(context, plan()).await?;
+    cluster.partners.iter().for_each(|partner| partner.mode.set(Mode::Failing(0.15)));
+    let settled_after_s = cluster
+        .wait_until_settled(30.0)
+        .await
+        .ok_or("not every probe duty had exactly one holder within 30 s")?;
+    context.log_progress(&format!("each of 20 probe duties has one holder after {settled_after_s:.1} s"));
+    let mut observer = LeaseObserver::default();
+    let now = || context.runtime.now();
+    let record_fault = |cluster: &Cluster, fault: String| {
+        context.log_progress(&fault);
+        cluster.network.faults.record_fault(context.runtime.now(), fault);
     };
-    w.observe_until(&c, setup, now() + 2.0).await;
-    // The network of the leader's machine stands still, then its processor; both go on together.
-    let stalls: &[f64] = if setup.short { &[2.0, 5.0] } else { &[2.0, 5.0, 2.0, 5.0, 3.0, 2.0] };
-    for leases in stalls {
-        let a = w.coordinator();
-        w.record_holder_loss(now(), a);
-        c.network.faults.freeze(a);
-        w.observe_until(&c, setup, now() + 0.35).await;
-        c.daemons[a].pause();
-        tell(&c, format!("{} leads and is stalled for {leases} leases", c.daemons[a].name));
-        w.observe_until(&c, setup, now() + leases * LEASE_S).await;
-        c.daemons[a].resume();
-        let late = c.network.release_held(a).await;
-        tell(&c, format!("{} goes on; {late} datagrams leave late", c.daemons[a].name));
-        w.observe_until(&c, setup, now() + 2.0).await;
+    observer.observe_until(&cluster, context, now() + 2.0).await;
+    // Freeze the network of the coordinator's machine, then pause its process; both continue at the same
+    // moment.
+    let stalls_in_leases: &[f64] = if context.short { &[2.0, 5.0] } else { &[2.0, 5.0, 2.0, 5.0, 3.0, 2.0] };
+    for leases in stalls_in_leases {
+        let coordinator = observer.coordinator();
+        observer.record_holder_loss(now(), coordinator);
+        cluster.network.faults.freeze(coordinator);
+        observer.observe_until(&cluster, context, now() + 0.35).await;
+        cluster.daemons[coordinator].pause();
+        record_fault(
+            &cluster,
+            format!("{} leads and is stalled for {leases} leases", cluster.daemons[coordinator].name),
+        );
+        observer.observe_until(&cluster, context, now() + leases * LEASE_S).await;
+        cluster.daemons[coordinator].resume();
+        let late = cluster.network.release_held(coordinator).await;
+        record_fault(
+            &cluster,
+            format!("{} goes on; {late} datagrams leave late", cluster.daemons[coordinator].name),
+        );
+        observer.observe_until(&cluster, context, now() + 2.0).await;
     }
-    // Cut off both ways, deaf, and mute.
-    for (what, from, to) in [("cut off", true, true), ("deaf", false, true), ("mute", true, false)] {
-        let a = w.coordinator();
-        let others = || (0..c.daemons.len()).filter(move |b| *b != a);
-        c.network.faults.cut(others().filter(|_| from).map(|b| (a, b)));
-        c.network.faults.cut(others().filter(|_| to).map(|b| (b, a)));
-        tell(&c, format!("{} leads and is {what}", c.daemons[a].name));
-        // Who is heard goes on answering.
-        if from {
-            w.record_holder_loss(now(), a);
+    // Cut the coordinator off in both directions, then inbound only ("deaf"), then outbound only ("mute").
+    for (fault, outbound, inbound) in [("cut off", true, true), ("deaf", false, true), ("mute", true, false)]
+    {
+        let coordinator = observer.coordinator();
+        let others = || (0..cluster.daemons.len()).filter(move |other| *other != coordinator);
+        cluster.network.faults.cut(others().filter(|_| outbound).map(|other| (coordinator, other)));
+        cluster.network.faults.cut(others().filter(|_| inbound).map(|other| (other, coordinator)));
+        record_fault(&cluster, format!("{} leads and is {fault}", cluster.daemons[coordinator].name));
+        // A coordinator whose datagrams arrive still counts as responding.
+        if outbound {
+            observer.record_holder_loss(now(), coordinator);
         }
-        w.observe_until(&c, setup, now() + if setup.short { 3.0 } else { 3.0 * LEASE_S + 2.0 }).await;
-        c.network.heal();
-        tell(&c, "all ways are open".into());
-        w.observe_until(&c, setup, now() + 2.0).await;
+        observer
+            .observe_until(&cluster, context, now() + if context.short { 3.0 } else { 3.0 * LEASE_S + 2.0 })
+            .await;
+        cluster.network.heal();
+        record_fault(&cluster, "all ways are open".into());
+        observer.observe_until(&cluster, context, now() + 2.0).await;
     }
-    w.links_are_lossy = true;
-    c.network
-        .faults
-        .set_all_links(c.daemons.len(), LinkFaults { loss: 0.3, delay: LEASE_S / 2.0, duplication: 0.05 });
-    tell(&c, "30% are lost, 5% come twice, all take up to half a lease".into());
-    w.observe_until(&c, setup, now() + if setup.short { 4.0 } else { 20.0 }).await;
-    c.network.heal();
-    tell(&c, "all ways are as before".into());
-    w.observe_until(&c, setup, now() + 12.0 * LEASE_S).await;
-    w.links_are_lossy = false;
-    // The voters, one after the other; the second one's folder is gone.
+    observer.links_are_lossy = true;
+    cluster.network.faults.set_all_links(
+        cluster.daemons.len(),
+        LinkFaults { loss: 0.3, delay: LEASE_S / 2.0, duplication: 0.05 },
+    );
+    record_fault(&cluster, "30% are lost, 5% come twice, all take up to half a lease".into());
+    observer.observe_until(&cluster, context, now() + if context.short { 4.0 } else { 20.0 }).await;
+    cluster.network.heal();
+    record_fault(&cluster, "all ways are as before".into());
+    observer.observe_until(&cluster, context, now() + 12.0 * LEASE_S).await;
+    observer.links_are_lossy = false;
+    // Kill and restart the voters, one after the other; the second one loses its state folder.
     for voter in 0..3 {
-        w.record_holder_loss(now(), voter);
-        c.kill_daemon(voter);
-        tell(&c, format!("{} is killed", c.daemons[voter].name));
-        w.observe_until(&c, setup, now() + 1.0).await;
+        observer.record_holder_loss(now(), voter);
+        cluster.kill_daemon(voter);
+        record_fault(&cluster, format!("{} is killed", cluster.daemons[voter].name));
+        observer.observe_until(&cluster, context, now() + 1.0).await;
         if voter == 1 {
-            c.daemons[voter].wipe_state()?;
-            tell(&c, format!("the folder of {} is wiped", c.daemons[voter].name));
+            cluster.daemons[voter].wipe_state()?;
+            record_fault(&cluster, format!("the folder of {} is wiped", cluster.daemons[voter].name));
         }
-        c.start_daemon(voter).await?;
-        tell(&c, format!("{} is started", c.daemons[voter].name));
-        w.observe_until(&c, setup, now() + 5.0).await;
-        c.check_for_crashes()?;
+        cluster.start_daemon(voter).await?;
+        record_fault(&cluster, format!("{} is started", cluster.daemons[voter].name));
+        observer.observe_until(&cluster, context, now() + 5.0).await;
+        cluster.check_for_crashes()?;
     }
-    while !setup.short && now() < 120.0 {
-        w.observe_until(&c, setup, now() + 1.0).await;
+    while !context.short && now() < 120.0 {
+        observer.observe_until(&cluster, context, now() + 1.0).await;
     }
-    c.check_for_crashes()?;
+    cluster.check_for_crashes()?;
     let ended = now();
-    for (duty, at) in &w.last_held {
-        w.longest_unheld_ms = w.longest_unheld_ms.max((ended - at) * 1000.0);
-        if ended - at > LEASE_S {
-            setup.log_progress(&format!("{duty:?} was last seen held {:.1} s before the end", ended - at));
+    for (duty, last_held) in &observer.last_held {
+        observer.longest_unheld_ms = observer.longest_unheld_ms.max((ended - last_held) * 1000.0);
+        if ended - last_held > LEASE_S {
+            context.log_progress(&format!(
+                "duty {duty:?} was last seen with a holder {:.1} s before the end",
+                ended - last_held
+            ));
         }
     }
     let mut stale = StaleEffects::default();
-    stale.count_probes(&c);
-    stale.count_member_messages(&c);
-    let (tried, refused) = c.discovery.stale_requests.get();
-    stale.received += tried;
-    stale.refused += refused;
+    stale.count_probes(&cluster);
+    stale.count_member_messages(&cluster);
+    let (received_by_discovery, refused_by_discovery) = cluster.discovery.stale_requests.get();
+    stale.received += received_by_discovery;
+    stale.refused += refused_by_discovery;
     let overlap = (stale.concurrent + stale.received - stale.refused) as f64;
     let mut claims = vec![
         Claim::at_most("fenced_overlap", overlap, 0.0, "effects"),
         Claim::at_least("stale_refused", stale.refused as f64, stale.received.max(1) as f64, "effects"),
-        Claim::at_most("epoch_reused", w.reused_epochs as f64, 0.0, "epochs"),
+        Claim::at_most("epoch_reused", observer.reused_epochs as f64, 0.0, "epochs"),
     ];
-    // What must never happen does not in any run; how long things take hangs on the machine, which CI shares.
-    if !setup.short {
+    // The claims above are about safety and must hold in every run. How long a handover takes depends on the
+    // machine, which CI shares with other jobs.
+    if !context.short {
         claims.push(Claim::at_most(
             "handover_p99_ms",
-            quantile(&w.handovers_ms, 0.99),
+            quantile(&observer.handovers_ms, 0.99),
             MAX_HANDOVER_MS,
             "ms",
         ));
-        claims.push(Claim::at_most("duty_gap_max_ms", w.longest_unheld_ms, MAX_UNHELD_MS, "ms"));
+        claims.push(Claim::at_most("duty_gap_max_ms", observer.longest_unheld_ms, MAX_UNHELD_MS, "ms"));
     }
     Ok(Report {
         experiment: "lease-stall".into(),
-        short: setup.short,
+        short: context.short,
         claims,
-        figures: json!({"seed": setup.seed, "duties": w.last_held.len(), "leases": w.holder_by_epoch.len(),
-            "handovers": w.handovers_ms.len(), "handover_p50_ms": quantile(&w.handovers_ms, 0.5).round(),
-            "handover_p99_ms": quantile(&w.handovers_ms, 0.99).round(), "duty_gap_max_ms": w.longest_unheld_ms.round(),
-            "duty_gap_lossy_ms": w.longest_unheld_lossy_ms.round(),
-            "stale_tried": stale.received, "stale_at_the_list": tried, "duty_gap_of": w.longest_unheld_duty, "datagrams_lost": c.network.faults.datagrams_lost.get(),
-            "datagrams_delayed": c.network.faults.datagrams_delayed.get(), "fence_refused": c.sum_counter("fence_refused").await,
-            "faults": c.network.faults.records()}),
+        figures: json!({"seed": context.seed, "duties": observer.last_held.len(),
+            "leases": observer.holder_by_epoch.len(),
+            "handovers": observer.handovers_ms.len(),
+            "handover_p50_ms": quantile(&observer.handovers_ms, 0.5).round(),
+            "handover_p99_ms": quantile(&observer.handovers_ms, 0.99).round(),
+            "duty_gap_max_ms": observer.longest_unheld_ms.round(),
+            "duty_gap_lossy_ms": observer.longest_unheld_lossy_ms.round(),
+            "stale_tried": stale.received, "stale_at_the_list": received_by_discovery,
+            "duty_gap_of": observer.longest_unheld_duty,
+            "datagrams_lost": cluster.network.faults.datagrams_lost.get(),
+            "datagrams_delayed": cluster.network.faults.datagrams_delayed.get(),
+            "fence_refused": cluster.sum_counter("fence_refused").await,
+            "faults": cluster.network.faults.records()}),
     })
 }
