--- a/lab/src/experiments/scale.rs
+++ b/lab/src/experiments/scale.rs
@@ -1,11 +1,11 @@
-//! Hollow forwarders by the thousand on a virtual clock, after a few dozen real daemons have shown that a hollow one
-//! costs what a real one costs.
+//! Thousands of simulated forwarders on a virtual clock. Before them, a few dozen real daemons run, to show
+//! that a simulated forwarder costs what a real one does.
 
 use super::ExperimentContext;
 use super::cluster::{Cluster, Plan};
 use crate::daemon::Daemon;
 use crate::report::{Claim, Report};
-use crate::scale::cluster::{Cluster as Hollow, Plan as HollowPlan};
+use crate::scale::cluster::{Cluster as SimulatedCluster, Plan as SimulatedPlan};
 use crate::scale::links::Links;
 use crate::scale::meter::{Unpaid, machine_bytes, resident_bytes};
 use crate::scale::play::{CHANGES_PER_DAY, Outcome, Spans, links, play};
@@ -18,41 +18,51 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// What a forwarder may spend on control.
+/// Maximum share of a core that a forwarder may use for control work.
 const MAX_CPU_SHARE: f64 = 0.02;
+/// Maximum control traffic that a forwarder may send.
 const MAX_BYTES_PER_S: f64 = 9_000.0;
+/// Maximum memory of a forwarder's control state, with the list.
 const MAX_MB: f64 = 128.0;
-/// A change is in force everywhere within this.
+/// Maximum time until a list change is in force at every forwarder.
 const MAX_IN_FORCE_MS: f64 = 10_000.0;
-/// Bytes come from the same code on the same schedule; only what chance decides may differ.
+/// Maximum relative difference of the bytes that simulated and real forwarders send. The same code sends them
+/// on the same schedule, so only random choices may make a difference.
 const MAX_BYTES_DIFFERENCE: f64 = 0.15;
-/// The processor's time of a real daemon holds what a hollow forwarder leaves out (timers, mailboxes between actors, the
-/// scheduler), and both are measured on a machine that others use.
+/// Maximum ratio of the CPU time of simulated and real forwarders. A real daemon also spends time that a
+/// simulated forwarder does not (timers, mailboxes between actors, the scheduler), and both are measured on a
+/// machine with other load.
 const MAX_CPU_RATIO: f64 = 2.0;
 
+/// Lease duration in the simulated clusters.
 const LEASE: Micros = Micros(3_000_000);
+/// Voters in every cluster.
 const VOTERS: usize = 5;
-/// Endpoints that each hollow forwarder of a cluster has listed.
+/// Endpoints in the list of each simulated forwarder of a cluster.
 const LISTED_ENDPOINTS: u64 = 200;
-/// From this size on a play is spread over threads.
+/// From this number of forwarders on, a simulation runs on several threads.
 const MULTI_THREADED_FROM: u16 = 300;
 const THREADS: usize = 4;
 
-/// Leases of the clusters that are compared, so that their start is over soon.
+/// Lease duration in the comparison of real and simulated forwarders; it is short so that the clusters settle
+/// soon.
 const COMPARISON_LEASE: Micros = Micros(1_200_000);
+/// Partners in the comparison.
 const COMPARISON_PARTNERS: u64 = 6;
-/// Real daemons without duties, for what is not control.
+/// Real daemons that run without duties, to measure the CPU time that is not control work.
 const DAEMONS_WITHOUT_DUTIES: usize = 4;
-/// No message within an experiment.
+/// A rate at which no message falls within an experiment.
 const NEGLIGIBLE_MESSAGES_PER_S: f64 = 1e-6;
 
-/// One form of the experiment.
+/// Sizes of the full or the short form.
 struct Parameters {
+    /// Real daemons in the comparison.
     daemons: usize,
-    /// Seconds until what is compared has settled, and for which it is then measured.
+    /// Time for the compared clusters to settle, and the time over which they are then measured.
     comparison_spans_s: (f64, f64),
+    /// Numbers of simulated forwarders.
     sizes: &'static [u16],
-    /// Endpoints of the list whose memory is measured.
+    /// Endpoints in the list whose memory is measured.
     listed_endpoints: u64,
 }
 
@@ -65,30 +75,33 @@
     listed_endpoints: 1_300_000,
 };
 
-const fn seconds(n: u64) -> Micros {
-    Micros(n * 1_000_000)
+const fn seconds(seconds: u64) -> Micros {
+    Micros(seconds * 1_000_000)
 }
 
 const SPANS: Spans =
     Spans { settle_most: seconds(120), settle_least: seconds(40), steady: seconds(20), fault: seconds(20) };
 
-/// What one forwarder costs in a second.
+/// What one forwarder uses a second.
 #[derive(Clone, Copy, Debug, Serialize)]
 struct Cost {
     sent_bytes_per_s: f64,
     cpu_share: f64,
-    /// Times that it went to sleep, by the system's count, or that it was woken.
+    /// Voluntary context switches of a real daemon, or wake-ups of a simulated forwarder.
     wakes_per_s: f64,
 }
 
-/// Real daemons that share duties, beside some that do not: what control costs each.
-async fn measure_daemons(setup: &ExperimentContext, form: &Parameters) -> Result<(Cost, f64), String> {
-    let strength = CapacityModel { calls_per_s: 60.0, ..CapacityModel::default() };
-    let plan = |label, daemons, off| Plan {
-        name_prefix: label,
+/// Runs real daemons that share duties and some that do not. Returns the cost of control for each daemon, and
+/// its memory in megabytes.
+async fn measure_daemons(
+    context: &ExperimentContext, parameters: &Parameters,
+) -> Result<(Cost, f64), String> {
+    let capacity_model = CapacityModel { calls_per_s: 60.0, ..CapacityModel::default() };
+    let plan = |name_prefix, daemons, without_duties| Plan {
+        name_prefix,
         daemons,
         partners: COMPARISON_PARTNERS,
-        capacity_model: strength,
+        capacity_model,
         messages_per_s: NEGLIGIBLE_MESSAGES_PER_S,
         lease_s: COMPARISON_LEASE.secs(),
         probes_per_s: 1.0,
@@ -97,67 +110,86 @@
         share_list: true,
         elect_coordinator: true,
         voters: VOTERS,
-        without_duties: off,
+        without_duties,
     };
-    let mut shared = Cluster::start(setup, plan("n", form.daemons, false)).await?;
-    let mut without = Cluster::start(setup, plan("o", DAEMONS_WITHOUT_DUTIES, true)).await?;
-    let (settle, span) = form.comparison_spans_s;
-    sleep(settle).await;
-    let sleeps = |c: &Cluster| c.daemons.iter().filter_map(Daemon::voluntary_context_switches).sum::<u64>();
-    let look = |c: &Cluster| {
-        (c.cpu_and_memory().0 / c.plan.daemons as f64, c.network.forwarded_bytes.get(), sleeps(c))
+    let mut shared = Cluster::start(context, plan("n", parameters.daemons, false)).await?;
+    let mut without_duties = Cluster::start(context, plan("o", DAEMONS_WITHOUT_DUTIES, true)).await?;
+    let (settle_s, span_s) = parameters.comparison_spans_s;
+    sleep(settle_s).await;
+    let context_switches = |cluster: &Cluster| {
+        cluster.daemons.iter().filter_map(Daemon::voluntary_context_switches).sum::<u64>()
     };
-    let (before, before_without, at) = (look(&shared), look(&without), setup.runtime.now());
-    sleep(span).await;
-    let (after, after_without) = (look(&shared), look(&without));
-    let took = setup.runtime.now() - at;
+    let reading = |cluster: &Cluster| {
+        (
+            cluster.cpu_and_memory().0 / cluster.plan.daemons as f64,
+            cluster.network.forwarded_bytes.get(),
+            context_switches(cluster),
+        )
+    };
+    let (before, before_without, began) = (reading(&shared), reading(&without_duties), context.runtime.now());
+    sleep(span_s).await;
+    let (after, after_without) = (reading(&shared), reading(&without_duties));
+    let elapsed_s = context.runtime.now() - began;
     shared.check_for_crashes()?;
-    without.check_for_crashes()?;
-    let idle = (after_without.0 - before_without.0) / took;
-    setup.log_progress(&format!("a daemon without duties uses {:.2} ms a second", idle * 1e3));
-    let mb = shared.cpu_and_memory().1 as f64 / 1000.0 / form.daemons as f64;
-    let control = (after.0 - before.0) - (after_without.0 - before_without.0);
-    let sent = (after.1 - before.1) as f64 / form.daemons as f64;
-    let wakes = (after.2 - before.2) as f64 / form.daemons as f64;
-    let cost = Cost { sent_bytes_per_s: sent / took, cpu_share: control / took, wakes_per_s: wakes / took };
+    without_duties.check_for_crashes()?;
+    let base_cpu_share = (after_without.0 - before_without.0) / elapsed_s;
+    context.log_progress(&format!(
+        "a daemon without duties uses {:.2} ms of CPU time a second",
+        base_cpu_share * 1e3
+    ));
+    let mb = shared.cpu_and_memory().1 as f64 / 1000.0 / parameters.daemons as f64;
+    let control_cpu_s = (after.0 - before.0) - (after_without.0 - before_without.0);
+    let sent_bytes = (after.1 - before.1) as f64 / parameters.daemons as f64;
+    let wakes = (after.2 - before.2) as f64 / parameters.daemons as f64;
+    let cost = Cost {
+        sent_bytes_per_s: sent_bytes / elapsed_s,
+        cpu_share: control_cpu_s / elapsed_s,
+        wakes_per_s: wakes / elapsed_s,
+    };
     Ok((cost, mb))
 }
 
-/// Hollow forwarders of the same number, for the same time.
-fn measure_simulated(setup: &ExperimentContext, form: &Parameters, unpaid: &Unpaid) -> Result<Cost, String> {
-    let plan = HollowPlan {
-        members: form.daemons as u16,
+/// Runs as many simulated forwarders for the same time. Returns the cost of each.
+fn measure_simulated(
+    context: &ExperimentContext, parameters: &Parameters, unsimulated_cost: &Unpaid,
+) -> Result<Cost, String> {
+    let plan = SimulatedPlan {
+        members: parameters.daemons as u16,
         voters: VOTERS,
         lease: COMPARISON_LEASE,
         listed: COMPARISON_PARTNERS,
-        seed: setup.seed,
+        seed: context.seed,
         threads: 1,
     };
-    let mut cluster = Hollow::new(plan)?;
+    let mut cluster = SimulatedCluster::new(plan)?;
     cluster.links = Links::near();
-    let all: Vec<_> = cluster.members().collect();
-    cluster.start(&all)?;
-    let (settle, span) = form.comparison_spans_s;
-    cluster.run(Micros::from_secs(settle))?;
+    let members: Vec<_> = cluster.members().collect();
+    cluster.start(&members)?;
+    let (settle_s, span_s) = parameters.comparison_spans_s;
+    cluster.run(Micros::from_secs(settle_s))?;
     let before = cluster.readings()?;
-    cluster.run(Micros::from_secs(span))?;
-    let (mut sent, mut cpu, mut wakes) = (0.0, 0.0, 0.0);
+    cluster.run(Micros::from_secs(span_s))?;
+    let (mut sent_bytes, mut cpu_s, mut wakes) = (0.0, 0.0, 0.0);
     for (after, before) in cluster.readings()?.iter().zip(&before) {
         let used = after.usage.since(before.usage);
         wakes += used.wakes as f64;
-        sent += used.sent_bytes as f64;
-        cpu += used.cpu_s + unpaid.of(&used, span);
+        sent_bytes += used.sent_bytes as f64;
+        cpu_s += used.cpu_s + unsimulated_cost.of(&used, span_s);
     }
-    let each = f64::from(form.daemons as u16) * span;
-    Ok(Cost { sent_bytes_per_s: sent / each, cpu_share: cpu / each, wakes_per_s: wakes / each })
+    let forwarder_seconds = f64::from(parameters.daemons as u16) * span_s;
+    Ok(Cost {
+        sent_bytes_per_s: sent_bytes / forwarder_seconds,
+        cpu_share: cpu_s / forwarder_seconds,
+        wakes_per_s: wakes / forwarder_seconds,
+    })
 }
 
-/// How far apart two figures are: the greater over the smaller.
+/// Returns the ratio of the greater of two figures to the smaller; NaN unless both are positive.
 fn ratio(a: f64, b: f64) -> f64 {
     if a > 0.0 && b > 0.0 { (a / b).max(b / a) } else { f64::NAN }
 }
 
-/// A claim at one size.
+/// The value of a claim at one size.
 #[derive(Clone, Copy, Debug, Serialize)]
 struct AtSize {
     forwarders: u16,
@@ -165,41 +197,43 @@
     held: bool,
 }
 
-/// A claim over all sizes, whose value is the worst of them, and how it stands at each.
+/// A claim whose value is the worst over all sizes, and the value at each size.
 struct JudgedClaim {
     claim: Claim,
     sizes: Vec<AtSize>,
 }
 
+/// Claims that a figure is at most this bound at every size.
 fn judge_sizes(
-    name: &'static str, bound: f64, unit: &'static str, outcomes: &[Outcome], of: impl Fn(&Outcome) -> f64,
+    name: &'static str, bound: f64, unit: &'static str, outcomes: &[Outcome],
+    figure: impl Fn(&Outcome) -> f64,
 ) -> JudgedClaim {
     let at_size = |outcome: &Outcome| {
-        let value = of(outcome);
+        let value = figure(outcome);
         let held = Claim::at_most(name, value, bound, unit).held;
         AtSize { forwarders: outcome.forwarders, value, held }
     };
     let sizes: Vec<_> = outcomes.iter().map(at_size).collect();
-    // What was not measured at one size holds nothing at all.
+    // A figure that was not measured at one size is NaN there, and then the whole claim does not hold.
     let worse = |a: f64, b: f64| if a.is_nan() || a > b { a } else { b };
-    let worst = sizes.iter().map(|s| s.value).reduce(worse).unwrap_or(f64::NAN);
+    let worst = sizes.iter().map(|size| size.value).reduce(worse).unwrap_or(f64::NAN);
     JudgedClaim { claim: Claim::at_most(name, worst, bound, unit), sizes }
 }
 
-/// Figures without digits that say nothing.
+/// Rounds all figures to five significant digits.
 fn rounded(value: Value) -> Value {
     match value {
-        Value::Number(n) if n.is_f64() => {
-            let text = format!("{:.4e}", n.as_f64().unwrap_or(f64::NAN));
+        Value::Number(number) if number.is_f64() => {
+            let text = format!("{:.4e}", number.as_f64().unwrap_or(f64::NAN));
             json!(text.parse::<f64>().unwrap_or(f64::NAN))
         }
-        Value::Array(all) => all.into_iter().map(rounded).collect(),
-        Value::Object(all) => all.into_iter().map(|(key, value)| (key, rounded(value))).collect(),
+        Value::Array(values) => values.into_iter().map(rounded).collect(),
+        Value::Object(fields) => fields.into_iter().map(|(key, value)| (key, rounded(value))).collect(),
         other => other,
     }
 }
 
-/// What of a hollow forwarder is a daemon's own code, and what is not.
+/// Describes, for the report, which parts of a simulated forwarder are a daemon's code and which are not.
 fn model_parts() -> Value {
     json!({
         "real": ["onyxrock-membership: failure detector, gossip, sealed datagrams",
@@ -215,62 +249,66 @@
     })
 }
 
-pub async fn run(setup: &ExperimentContext) -> Result<Report, String> {
-    let form = if setup.short { SHORT_PARAMETERS } else { FULL_PARAMETERS };
-    let largest = form.sizes.iter().copied().max().unwrap_or(0);
+/// Compares simulated forwarders to real daemons, and then simulates each size.
+pub async fn run(context: &ExperimentContext) -> Result<Report, String> {
+    let parameters = if context.short { SHORT_PARAMETERS } else { FULL_PARAMETERS };
+    let largest = parameters.sizes.iter().copied().max().unwrap_or(0);
     let needs = Needs {
         forwarders: largest,
-        daemons: form.daemons + DAEMONS_WITHOUT_DUTIES,
-        listed: form.listed_endpoints,
+        daemons: parameters.daemons + DAEMONS_WITHOUT_DUTIES,
+        listed: parameters.listed_endpoints,
     };
-    check_room(&needs, machine_bytes().ok_or("no figure of the machine's memory")?)?;
-    let unpaid = Unpaid::measure()?;
-    let (real, real_mb) = measure_daemons(setup, &form).await?;
-    let hollow = measure_simulated(setup, &form, &unpaid)?;
-    setup.log_progress(&format!("{} real daemons: {real:?}, hollow: {hollow:?}", form.daemons));
-    let list = listing::hold(form.listed_endpoints)?;
-    setup.log_progress(&format!("{} endpoints listed: {:.1} MB", form.listed_endpoints, list.mb));
-    let before = resident_bytes().ok_or("no figure of resident memory")?;
+    check_room(&needs, machine_bytes().ok_or("cannot read the machine's memory from /proc/meminfo")?)?;
+    let unsimulated_cost = Unpaid::measure()?;
+    let (real, real_mb) = measure_daemons(context, &parameters).await?;
+    let simulated = measure_simulated(context, &parameters, &unsimulated_cost)?;
+    context.log_progress(&format!("{} real daemons: {real:?}, simulated: {simulated:?}", parameters.daemons));
+    let list = listing::hold(parameters.listed_endpoints)?;
+    context.log_progress(&format!("{} endpoints listed: {:.1} MB", parameters.listed_endpoints, list.mb));
+    let resident_before = resident_bytes().ok_or("cannot read this process's resident memory")?;
     let mut outcomes = Vec::new();
-    for &members in form.sizes {
+    for &members in parameters.sizes {
         let threads = if members >= MULTI_THREADED_FROM { THREADS } else { 1 };
-        let plan = HollowPlan {
+        let plan = SimulatedPlan {
             members,
             voters: VOTERS,
             lease: LEASE,
             listed: LISTED_ENDPOINTS,
-            seed: setup.seed,
+            seed: context.seed,
             threads,
         };
-        let outcome = play(plan, &SPANS, &unpaid, before, |_| {})?;
-        setup.log_progress(&format!("{members} hollow forwarders: {:.1} s", outcome.wall_s));
+        let outcome = play(plan, &SPANS, &unsimulated_cost, resident_before, |_| {})?;
+        context.log_progress(&format!("{members} simulated forwarders: took {:.1} s", outcome.wall_s));
         outcomes.push(outcome);
     }
-    let worst =
-        |name, bound, unit, of: &dyn Fn(&Outcome) -> f64| judge_sizes(name, bound, unit, &outcomes, of);
+    let at_all_sizes = |name, bound, unit, figure: &dyn Fn(&Outcome) -> f64| {
+        judge_sizes(name, bound, unit, &outcomes, figure)
+    };
     let judged = [
-        worst("control_cpu_share", MAX_CPU_SHARE, "of a core", &|o| o.cpu_share_worst),
-        worst("control_bytes_per_s", MAX_BYTES_PER_S, "bytes/s", &|o| o.bytes_per_s_worst),
-        worst("control_mb", MAX_MB, "MB", &|o| o.mb_each + list.mb),
-        worst("change_in_force_p99_ms", MAX_IN_FORCE_MS, "ms", &|o| o.change_p99_ms),
-        worst("change_in_force_worst_ms", MAX_IN_FORCE_MS, "ms", &|o| o.change_worst_ms),
+        at_all_sizes("control_cpu_share", MAX_CPU_SHARE, "of a core", &|outcome| outcome.cpu_share_worst),
+        at_all_sizes("control_bytes_per_s", MAX_BYTES_PER_S, "bytes/s", &|outcome| outcome.bytes_per_s_worst),
+        at_all_sizes("control_mb", MAX_MB, "MB", &|outcome| outcome.mb_each + list.mb),
+        at_all_sizes("change_in_force_p99_ms", MAX_IN_FORCE_MS, "ms", &|outcome| outcome.change_p99_ms),
+        at_all_sizes("change_in_force_worst_ms", MAX_IN_FORCE_MS, "ms", &|outcome| outcome.change_worst_ms),
     ];
-    let by_size: BTreeMap<_, _> = judged.iter().map(|j| (j.claim.name, &j.sizes)).collect();
+    let by_size: BTreeMap<_, _> = judged.iter().map(|judged| (judged.claim.name, &judged.sizes)).collect();
     let by_size = json!(by_size);
-    let mut claims: Vec<_> = judged.into_iter().map(|j| j.claim).collect();
-    let bytes_ratio = ratio(hollow.sent_bytes_per_s, real.sent_bytes_per_s);
-    let cpu_ratio = ratio(hollow.cpu_share, real.cpu_share);
+    let mut claims: Vec<_> = judged.into_iter().map(|judged| judged.claim).collect();
+    let bytes_ratio = ratio(simulated.sent_bytes_per_s, real.sent_bytes_per_s);
+    let cpu_ratio = ratio(simulated.cpu_share, real.cpu_share);
     claims.push(Claim::at_most("hollow_agrees", bytes_ratio, 1.0 + MAX_BYTES_DIFFERENCE, "ratio of bytes"));
-    // The processor's time hangs on the machine, which CI shares.
-    if !setup.short {
+    // CPU time depends on the machine, which CI shares with other jobs.
+    if !context.short {
         claims.push(Claim::at_most("hollow_agrees_cpu", cpu_ratio, MAX_CPU_RATIO, "ratio of CPU"));
     }
-    let agreement = json!({"daemons": form.daemons, "real": real, "hollow": hollow, "real_mb": real_mb,
-        "unpaid": unpaid, "bytes_ratio": bytes_ratio, "cpu_ratio": cpu_ratio});
-    let list = json!({"entries": form.listed_endpoints, "listed": list.directory.listed_endpoint_count(), "mb": list.mb});
+    let agreement = json!({"daemons": parameters.daemons, "real": real, "hollow": simulated,
+        "real_mb": real_mb,
+        "unpaid": unsimulated_cost, "bytes_ratio": bytes_ratio, "cpu_ratio": cpu_ratio});
+    let list = json!({"entries": parameters.listed_endpoints,
+        "listed": list.directory.listed_endpoint_count(), "mb": list.mb});
     let placement = json!({"regions": placement::REGIONS, "zones": placement::ZONES, "links": links()});
-    let figures = json!({"seed": setup.seed, "claims_by_size": by_size, "parts": model_parts(),
+    let figures = json!({"seed": context.seed, "claims_by_size": by_size, "parts": model_parts(),
         "agreement": agreement, "list": list, "placement": placement, "changes_per_day": CHANGES_PER_DAY,
         "sizes": outcomes});
-    Ok(Report { experiment: "scale".into(), short: setup.short, claims, figures: rounded(figures) })
+    Ok(Report { experiment: "scale".into(), short: context.short, claims, figures: rounded(figures) })
 }
