--- a/lab/src/daemon.rs
+++ b/lab/src/daemon.rs
@@ -83,8 +83,8 @@
 
 /// Returns the path of the daemon's program in the folder of this program: one build puts both there.
 pub fn default_program() -> Result<PathBuf, String> {
-    let me = std::env::current_exe().map_err(|e| e.to_string())?;
-    let path = me.with_file_name("onyxrock");
+    let this_program = std::env::current_exe().map_err(|e| e.to_string())?;
+    let path = this_program.with_file_name("onyxrock");
     if path.exists() {
         Ok(path)
     } else {
@@ -175,7 +175,7 @@
         self.child = Some(child);
         let timeout = async {
             async_io::Timer::after(START_TIMEOUT).await;
-            Err(format!("the process did not listen within {} s", START_TIMEOUT.as_secs()))
+            Err("the process did not listen in time".to_owned())
         };
         let started = futures_lite::future::or(read_listen_addresses(&lines), timeout).await;
         let addresses = started.map_err(|e| format!("{}: {e}", self.name))?;
--- a/lab/src/experiments/idle.rs
+++ b/lab/src/experiments/idle.rs
@@ -372,7 +372,7 @@
     send_to_both(1, 75, 5.0).await;
     setups.iter().for_each(|(_, partners, _)| partners[1].mode.set(Mode::Hanging));
     send_to_both(1, 30, 2.0).await;
-    context.log_progress("no messages for 14 s");
+    context.log_progress("no messages for the next 14 s");
     sleep(8.0).await;
     // Wait until the idle daemon has handled some event; in this time at least a request for the list ends.
     sleep(6.0).await;
