--- a/lab/src/experiments/soak.rs
+++ b/lab/src/experiments/soak.rs
@@ -1,4 +1,4 @@
-//! The soak test as an experiment: no rule is broken, whatever overlaps.
+//! The soak test as an experiment: it claims that no rule is broken under overlapping faults.
 
 use super::ExperimentContext;
 use crate::report::{Claim, Report};
@@ -6,21 +6,24 @@
 use crate::soak::{Soak, play};
 use serde_json::json;
 
-/// A line of a violation is worth seeing; of many the first ones tell.
-const LINES_MOST: usize = 40;
-/// A run in which hardly anything is delivered shows nothing.
-const DELIVERED_LEAST: f64 = 0.5;
-/// Beyond this the stand-ins were too late to judge anything.
-const LATENESS_MOST_S: f64 = 0.25;
+/// How many violations the report quotes. If there are many, the first ones are enough to find the cause.
+const MAX_REPORTED_LINES: usize = 40;
+/// Minimum share of the accepted messages that is delivered: a run that delivers hardly anything proves
+/// nothing.
+const MIN_DELIVERED_SHARE: f64 = 0.5;
+/// Maximum lateness of the stand-ins' timers. With more, their records are too inaccurate to judge the
+/// daemons.
+const MAX_LATENESS_S: f64 = 0.25;
 
-/// The long and the short form.
-fn size(setup: &ExperimentContext) -> Soak {
-    let (daemons, seconds) = if setup.short { (8, 12.0) } else { (24, 30.0) };
-    Soak { daemons, destinations: 6, servers_each: 2, rate: 6.0, seconds, seed: setup.seed }
+/// Returns the parameters of the full or the short form.
+fn soak_parameters(context: &ExperimentContext) -> Soak {
+    let (daemons, seconds) = if context.short { (8, 12.0) } else { (24, 30.0) };
+    Soak { daemons, destinations: 6, servers_each: 2, rate: 6.0, seconds, seed: context.seed }
 }
 
-pub async fn run(setup: &ExperimentContext) -> Result<Report, String> {
-    let outcome = play(setup, size(setup)).await?;
+/// Runs the soak test and turns its verdict into claims.
+pub async fn run(context: &ExperimentContext) -> Result<Report, String> {
+    let outcome = play(context, soak_parameters(context)).await?;
     let mut claims: Vec<_> = RULES
         .iter()
         .map(|rule| Claim::at_most(rule, outcome.verdict.count(rule) as f64, 0.0, "violations"))
@@ -32,12 +35,13 @@
     claims.push(Claim::at_most("bad_clients_unanswered", outcome.bad_unanswered as f64, 0.0, "clients"));
     let number = |key: &str| outcome.figures[key].as_f64().unwrap_or(f64::NAN);
     let delivered = number("delivered") / number("taken_on");
-    claims.push(Claim::at_least("delivered_share", delivered, DELIVERED_LEAST, "of taken on"));
-    claims.push(Claim::at_most("stand_ins_late", number("stand_ins_late_s"), LATENESS_MOST_S, "s"));
-    let lines: Vec<_> = outcome.verdict.lines.iter().chain(&outcome.logged).take(LINES_MOST).collect();
+    claims.push(Claim::at_least("delivered_share", delivered, MIN_DELIVERED_SHARE, "of taken on"));
+    claims.push(Claim::at_most("stand_ins_late", number("stand_ins_late_s"), MAX_LATENESS_S, "s"));
+    let lines: Vec<_> =
+        outcome.verdict.lines.iter().chain(&outcome.logged).take(MAX_REPORTED_LINES).collect();
     let mut figures = outcome.figures;
     figures["violations"] = json!(lines);
     figures["crashes"] = json!(outcome.crashes);
     figures["faults_not_met"] = json!(outcome.not_met);
-    Ok(Report { experiment: "soak-faults".into(), short: setup.short, claims, figures })
+    Ok(Report { experiment: "soak-faults".into(), short: context.short, claims, figures })
 }
