--- a/lab/src/soak/clients.rs
+++ b/lab/src/soak/clients.rs
@@ -1,6 +1,7 @@
-//! Clients of one daemon: load that does not wait for answers, kept connections, clients that leave, and bad ones.
+//! Clients of one daemon: they submit messages without waiting for earlier answers, reuse connections, and
+//! sometimes disconnect early or send incomplete requests.
 
-use super::ledger::{Class, Heard, Ledger, Message, id_of};
+use super::observations::{Class, ClientResult, Message, ObservationLog, message_id};
 use crate::testbed::{Runtime, sleep};
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
@@ -10,211 +11,228 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// A client waits so long for its answer.
-const PATIENCE_S: f64 = 0.4;
-/// A bad client is owed an error or a close within this.
-const BAD_PATIENCE_S: f64 = 3.0;
-const LEAVES_EARLY: f64 = 0.02;
-const IS_BAD: f64 = 0.02;
-const UNKNOWN_CLASS: Heard = Heard::Status(400);
-const KEEPS_CONNECTION: f64 = 0.6;
-/// A class that settings may add and drop, and its time.
+/// Time that a client waits for its answer.
+const ANSWER_TIMEOUT_S: f64 = 0.4;
+/// Time within which the daemon must answer an incomplete request with an error or close its connection.
+const PARTIAL_REQUEST_TIMEOUT_S: f64 = 3.0;
+/// Share of the clients that disconnect without waiting for their answer.
+const EARLY_LEAVE_SHARE: f64 = 0.02;
+/// Share of the clients that send an incomplete request.
+const PARTIAL_REQUEST_SHARE: f64 = 0.02;
+/// The answer to a message of a class that the settings do not have.
+const UNKNOWN_CLASS: ClientResult = ClientResult::Status(400);
+/// Share of the answered connections that are kept for later requests.
+const CONNECTION_REUSE_SHARE: f64 = 0.6;
+/// Name and deadline in seconds of the class that the settings may add and remove.
 pub const ADDED_CLASS: (&str, f64) = ("rush", 3.0);
-/// Of the messages, while that class holds.
-const ADDED_SHARE: f64 = 0.3;
-/// Names and times of the classes; see `settings` of the experiment.
+/// Share of the messages that are of the added class while it is in force.
+const ADDED_CLASS_SHARE: f64 = 0.3;
+/// Effects, names and deadlines in seconds of the other classes, as in `super::settings::settings`.
 const CLASSES: [(Class, &str, f64); 3] =
     [(Class::Safe, "status", 3.0), (Class::Keyed, "booking", 5.0), (Class::Unsafe, "payment", 5.0)];
 
 pub struct Clients {
     daemon: usize,
-    /// Where the daemon is; none while it is down.
-    pub at: Cell<Option<SocketAddr>>,
-    /// A process that ends: connections to it are used for as long as they stay open.
-    pub ending: Cell<Option<SocketAddr>>,
-    /// The added class holds.
-    pub added_class: Cell<bool>,
-    /// No more is handed in.
-    pub over: Cell<bool>,
+    /// The daemon's address; none while the daemon is down.
+    pub daemon_address: Cell<Option<SocketAddr>>,
+    /// The address of a process that is shutting down: connections to it are used as long as they stay open.
+    pub draining_address: Cell<Option<SocketAddr>>,
+    /// The added class is in force.
+    pub added_class_active: Cell<bool>,
+    /// No more messages are submitted.
+    pub stopped: Cell<bool>,
     destinations: u64,
-    kept: RefCell<Vec<(SocketAddr, Async<TcpStream>)>>,
-    /// Bad clients that had neither an error nor a close in time.
+    idle_connections: RefCell<Vec<(SocketAddr, Async<TcpStream>)>>,
+    /// Incomplete requests that got neither an error nor a close in time.
     pub bad_unanswered: Cell<u64>,
     rng: RefCell<StdRng>,
-    world: Runtime,
-    ledger: Ledger,
+    runtime: Runtime,
+    log: ObservationLog,
 }
 
 impl Clients {
-    /// `rate` messages a second in the mean.
+    /// Starts the clients, which submit `messages_per_s` messages a second in the mean.
     pub fn start(
-        world: &Runtime, ledger: &Ledger, daemon: usize, destinations: u64, rate: f64, seed: u64,
+        runtime: &Runtime, log: &ObservationLog, daemon: usize, destinations: u64, messages_per_s: f64,
+        seed: u64,
     ) -> Rc<Clients> {
         let clients = Rc::new(Clients {
             daemon,
-            at: Cell::new(None),
-            ending: Cell::new(None),
-            added_class: Cell::new(false),
-            over: Cell::new(false),
+            daemon_address: Cell::new(None),
+            draining_address: Cell::new(None),
+            added_class_active: Cell::new(false),
+            stopped: Cell::new(false),
             destinations,
-            kept: RefCell::default(),
+            idle_connections: RefCell::default(),
             bad_unanswered: Cell::new(0),
             rng: RefCell::new(StdRng::seed_from_u64(seed)),
-            world: world.clone(),
-            ledger: ledger.clone(),
+            runtime: runtime.clone(),
+            log: log.clone(),
         });
-        world.spawn(clients.clone().run(rate));
+        runtime.spawn(clients.clone().run(messages_per_s));
         clients
     }
 
-    fn draw(&self) -> f64 {
+    /// A random number above 0 and below 1.
+    fn uniform(&self) -> f64 {
         self.rng.borrow_mut().random_range(f64::MIN_POSITIVE..1.0)
     }
 
-    async fn run(self: Rc<Self>, rate: f64) {
-        let mut due = self.world.now();
-        for n in 0.. {
-            due += -self.draw().ln() / rate;
-            sleep(due - self.world.now()).await;
-            if self.over.get() {
+    async fn run(self: Rc<Self>, messages_per_s: f64) {
+        let mut due = self.runtime.now();
+        for number in 0.. {
+            due += -self.uniform().ln() / messages_per_s;
+            sleep(due - self.runtime.now()).await;
+            if self.stopped.get() {
                 return;
             }
             let this = self.clone();
-            match (self.at.get(), self.ending.get()) {
-                (Some(at), _) if self.draw() < IS_BAD => self.world.spawn(async move { this.bad(at).await }),
-                (Some(at), _) => self.world.spawn(async move { this.hand_in(at, n, true).await }),
-                (None, Some(at)) => self.world.spawn(async move { this.hand_in(at, n, false).await }),
+            match (self.daemon_address.get(), self.draining_address.get()) {
+                (Some(address), _) if self.uniform() < PARTIAL_REQUEST_SHARE => {
+                    self.runtime.spawn(async move { this.send_partial_request(address).await })
+                }
+                (Some(address), _) => {
+                    self.runtime.spawn(async move { this.submit(address, number, true).await })
+                }
+                (None, Some(address)) => {
+                    self.runtime.spawn(async move { this.submit(address, number, false).await })
+                }
                 (None, None) => {}
             }
         }
     }
 
-    /// So many connections that say nothing or half a request, for so many seconds.
-    pub async fn crowd(&self, at: SocketAddr, clients: usize, lasts: f64) {
-        let from = self.world.now();
+    /// Opens connections that send nothing or half a request, and keeps them open.
+    pub async fn flood(&self, address: SocketAddr, connection_count: usize, duration_s: f64) {
+        let from = self.runtime.now();
         let mut connections = Vec::new();
-        for i in 0..clients {
-            let Ok(mut stream) = Async::<TcpStream>::connect(at).await else { continue };
-            if i % 2 == 1 {
+        for index in 0..connection_count {
+            let Ok(mut stream) = Async::<TcpStream>::connect(address).await else { continue };
+            if index % 2 == 1 {
                 let _ = stream.write_all(b"POST /status HTTP/1.1\r\nX-Request-Id: c").await;
             }
             connections.push(stream);
         }
-        sleep(lasts).await;
-        let (daemon, until) = (self.daemon, self.world.now());
-        self.ledger.with(|seen| seen.crowds.push((daemon, from, until)));
+        sleep(duration_s).await;
+        let (daemon, until) = (self.daemon, self.runtime.now());
+        self.log.with(|observations| observations.connection_floods.push((daemon, from, until)));
     }
 
-    /// Half a request, and nothing more: it is owed an error or a close.
-    async fn bad(&self, at: SocketAddr) {
-        self.ledger.met("client_bad");
-        let Ok(mut stream) = Async::<TcpStream>::connect(at).await else { return };
+    /// Sends half a request and nothing more. The daemon must answer with an error or close the connection.
+    async fn send_partial_request(&self, address: SocketAddr) {
+        self.log.record_fault_hit("client_bad");
+        let Ok(mut stream) = Async::<TcpStream>::connect(address).await else { return };
         let _ = stream.write_all(b"POST /status HTTP/1.1\r\nX-Request-Id: b").await;
         let ended = async { stream.read(&mut [0; 64]).await.map_or(true, |_| true) };
-        let late = async {
-            sleep(BAD_PATIENCE_S).await;
+        let timeout = async {
+            sleep(PARTIAL_REQUEST_TIMEOUT_S).await;
             false
         };
-        // One that is stopped or ends meanwhile owes nothing.
-        if !future::or(ended, late).await && self.at.get() == Some(at) {
+        // No answer is due from a process that was stopped or has ended in the meantime.
+        if !future::or(ended, timeout).await && self.daemon_address.get() == Some(address) {
             self.bad_unanswered.set(self.bad_unanswered.get() + 1);
         }
     }
 
-    /// Over a connection that was kept, or over a new one where that may be opened.
-    async fn hand_in(&self, at: SocketAddr, n: u64, may_open: bool) {
-        let (class, name, left) = self.class();
+    /// Submits one message over a kept connection, or over a new one if `may_connect`.
+    async fn submit(&self, address: SocketAddr, number: u64, may_connect: bool) {
+        let (class, class_name, deadline_s) = self.next_class();
         let destination = self.rng.borrow_mut().random_range(1..=self.destinations);
-        let id = id_of(self.daemon, n);
-        let kept = self.kept.borrow_mut().pop().filter(|(to, _)| *to == at);
-        let on_kept_connection = kept.is_some();
-        let stream = match kept {
+        let id = message_id(self.daemon, number);
+        let idle_connection = self.idle_connections.borrow_mut().pop().filter(|(to, _)| *to == address);
+        let on_reused_connection = idle_connection.is_some();
+        let stream = match idle_connection {
             Some((_, stream)) => Ok(stream),
-            None if !may_open => return,
-            None => Async::<TcpStream>::connect(at).await,
+            None if !may_connect => return,
+            None => Async::<TcpStream>::connect(address).await,
         };
         let Ok(mut stream) = stream else { return };
-        let handed_in = self.world.now();
+        let submitted_at = self.runtime.now();
         let message = Message {
             class,
             daemon: self.daemon,
-            handed_in,
-            deadline: handed_in + left,
-            heard: None,
-            on_kept_connection,
-            left_early: self.draw() < LEAVES_EARLY,
-            noticed: None,
+            submitted_at,
+            deadline: submitted_at + deadline_s,
+            client_result: None,
+            on_reused_connection,
+            client_left_early: self.uniform() < EARLY_LEAVE_SHARE,
+            notice_received_at: None,
         };
-        let leaves = message.left_early;
-        self.ledger.with(|seen| seen.messages.insert(id.clone(), message));
+        let leaves_early = message.client_left_early;
+        self.log.with(|observations| observations.messages.insert(id.clone(), message));
         let request = format!(
-            "POST /{name} HTTP/1.1\r\nHost: app\r\nX-Request-Id: {id}\r\nX-Class: {name}\r\nX-Deadline: {left:.3}\r\n\
+            "POST /{class_name} HTTP/1.1\r\nHost: app\r\nX-Request-Id: {id}\r\nX-Class: {class_name}\r\n\
+             X-Deadline: {deadline_s:.3}\r\n\
              Idempotency-Key: k-{id}\r\nX-Envelope: dest={destination}\r\nContent-Length: 2\r\n\r\nhi"
         );
         if stream.write_all(request.as_bytes()).await.is_err() {
             return;
         }
-        if leaves {
-            self.ledger.met("client_leaves");
+        if leaves_early {
+            self.log.record_fault_hit("client_leaves");
             return;
         }
-        let heard = self.answer(&mut stream).await;
-        // It may have been dropped meanwhile.
-        if name == ADDED_CLASS.0 && heard == UNKNOWN_CLASS && self.added_class.get() {
-            self.ledger
-                .with(|seen| seen.settings_wrong.push(format!("{id}: its class holds, and is unknown")));
+        let client_result = self.read_answer(&mut stream).await;
+        // The class may have been removed while the request was under way.
+        if class_name == ADDED_CLASS.0 && client_result == UNKNOWN_CLASS && self.added_class_active.get() {
+            self.log.with(|observations| {
+                observations.settings_errors.push(format!("{id}: its class holds, and is unknown"))
+            });
         }
-        self.ledger.with(|seen| {
-            if let Some(message) = seen.messages.get_mut(&id) {
-                message.heard = Some(heard);
+        self.log.with(|observations| {
+            if let Some(message) = observations.messages.get_mut(&id) {
+                message.client_result = Some(client_result);
             }
         });
-        if matches!(heard, Heard::Status(_)) && self.draw() < KEEPS_CONNECTION {
-            self.kept.borrow_mut().push((at, stream));
+        if matches!(client_result, ClientResult::Status(_)) && self.uniform() < CONNECTION_REUSE_SHARE {
+            self.idle_connections.borrow_mut().push((address, stream));
         }
     }
 
-    /// That of the next message.
-    fn class(&self) -> (Class, &'static str, f64) {
-        let (name, left) = ADDED_CLASS;
-        if self.added_class.get() && self.draw() < ADDED_SHARE {
-            return (Class::Safe, name, left);
+    /// The effect, name and deadline of the next message's class.
+    fn next_class(&self) -> (Class, &'static str, f64) {
+        let (class_name, deadline_s) = ADDED_CLASS;
+        if self.added_class_active.get() && self.uniform() < ADDED_CLASS_SHARE {
+            return (Class::Safe, class_name, deadline_s);
         }
         CLASSES[self.rng.borrow_mut().random_range(0..CLASSES.len())]
     }
 
-    /// A message of a class that was dropped: it is taken on no more.
-    pub async fn of_dropped_class(&self) {
-        let Some(at) = self.at.get() else { return };
-        let Ok(mut stream) = Async::<TcpStream>::connect(at).await else { return };
-        let (name, left) = ADDED_CLASS;
-        let id = format!("dropped-{}-{}", self.daemon, self.world.now());
+    /// Submits a message of the class that was removed. The daemon must not accept it.
+    pub async fn submit_dropped_class(&self) {
+        let Some(address) = self.daemon_address.get() else { return };
+        let Ok(mut stream) = Async::<TcpStream>::connect(address).await else { return };
+        let (class_name, deadline_s) = ADDED_CLASS;
+        let id = format!("dropped-{}-{}", self.daemon, self.runtime.now());
         let request = format!(
-            "POST /{name} HTTP/1.1\r\nHost: app\r\nX-Request-Id: {id}\r\nX-Class: {name}\r\nX-Deadline: {left:.3}\r\n\
+            "POST /{class_name} HTTP/1.1\r\nHost: app\r\nX-Request-Id: {id}\r\nX-Class: {class_name}\r\n\
+             X-Deadline: {deadline_s:.3}\r\n\
              X-Envelope: dest=1\r\nContent-Length: 2\r\n\r\nhi"
         );
         if stream.write_all(request.as_bytes()).await.is_ok()
-            && self.answer(&mut stream).await == Heard::Status(202)
+            && self.read_answer(&mut stream).await == ClientResult::Status(202)
         {
-            self.ledger.with(|seen| seen.settings_wrong.push(format!("{id}: its class was dropped")));
+            self.log.with(|observations| {
+                observations.settings_errors.push(format!("{id}: its class was dropped"))
+            });
         }
     }
 
-    async fn answer(&self, stream: &mut Async<TcpStream>) -> Heard {
+    async fn read_answer(&self, stream: &mut Async<TcpStream>) -> ClientResult {
         let answer = async {
             let mut bytes = [0; 512];
             match stream.read(&mut bytes).await {
-                Ok(n) if n > 12 => {
+                Ok(bytes_read) if bytes_read > 12 => {
                     let status = std::str::from_utf8(&bytes[9..12]).ok().and_then(|s| s.parse().ok());
-                    status.map_or(Heard::Closed, Heard::Status)
+                    status.map_or(ClientResult::Closed, ClientResult::Status)
                 }
-                _ => Heard::Closed,
+                _ => ClientResult::Closed,
             }
         };
-        let late = async {
-            sleep(PATIENCE_S).await;
-            Heard::TooLate
+        let timeout = async {
+            sleep(ANSWER_TIMEOUT_S).await;
+            ClientResult::TimedOut
         };
-        future::or(answer, late).await
+        future::or(answer, timeout).await
     }
 }
--- a/lab/src/soak/discovery.rs
+++ b/lab/src/soak/discovery.rs
@@ -1,9 +1,9 @@
-//! Discovery, at as many addresses as it moves to: tells the list and its changes, takes ends of messages, and refuses calls,
-//! is slow, falls silent or is down.
+//! A stand-in for discovery, with any number of addresses: sends the endpoint list and its changes, receives
+//! notices of messages' outcomes, and refuses calls, answers late or wrongly, falls silent or is down.
 
-use super::ledger::{Drained, Ledger};
+use super::observations::{Drain, ObservationLog};
 use super::server::{Server, reset};
-use crate::http::{Request, ServerConnection as Connection};
+use crate::http::{Request, ServerConnection};
 use crate::testbed::{Runtime, sleep};
 use async_io::Async;
 use futures_lite::future;
@@ -15,49 +15,51 @@
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 
-/// How it treats calls for the list. Ends of messages are taken at once, whatever it does.
+/// How discovery treats calls for the list. Notices of outcomes are accepted at once in every mode.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mode {
-    Well,
-    /// It refuses this share of the calls at once.
-    Crowded(f64),
-    /// This share waits for a second and is refused then.
-    Slow(f64),
-    /// It answers nothing that comes or is open.
+    Healthy,
+    /// This share of the calls is refused at once.
+    Overloaded(f64),
+    /// This share of the calls waits in a queue for a second and is refused then.
+    QueueFull(f64),
+    /// Neither new calls nor open watches are answered.
     Silent,
-    /// It breaks what is open and refuses what comes.
+    /// Open connections are reset, and new ones are refused.
     Down,
-    /// Noise comes in place of this share of the answers.
-    Spoilt(f64),
+    /// This share of the calls gets an answer that is not valid JSON.
+    InvalidResponse(f64),
 }
 
 impl Mode {
+    /// The name of the fault in reports.
     pub fn name(self) -> &'static str {
         match self {
-            Mode::Well => "discovery_well",
-            Mode::Crowded(_) => "discovery_crowded",
-            Mode::Slow(_) => "discovery_slow",
+            Mode::Healthy => "discovery_well",
+            Mode::Overloaded(_) => "discovery_crowded",
+            Mode::QueueFull(_) => "discovery_slow",
             Mode::Silent => "discovery_silent",
             Mode::Down => "discovery_down",
-            Mode::Spoilt(_) => "discovery_spoilt",
+            Mode::InvalidResponse(_) => "discovery_spoilt",
         }
     }
 }
 
-/// How often it looks whether there is news for a watch.
-const LOOK_S: f64 = 0.01;
-/// A call waits in its queue for so long at most.
-const QUEUE_S: f64 = 1.0;
-/// A discovery that can be reached refuses or spoils no more than this of one daemon's calls in a row, where one that waited
-/// in the queue counts for three.
-const REFUSED_MOST: u32 = 6;
-const QUEUED: u32 = 3;
+/// Interval at which an open watch is checked for changes.
+const WATCH_POLL_INTERVAL_S: f64 = 0.01;
+/// Time for which a call waits in the queue before it is refused.
+const QUEUE_TIME_S: f64 = 1.0;
+/// Limit of the refused and invalid answers to one daemon's calls in a row while discovery can be reached. A
+/// call that waited in the queue counts as `QUEUE_TIMEOUT_COST`.
+const MAX_CONSECUTIVE_REFUSALS: u32 = 6;
+/// A refusal after the wait in the queue counts for three.
+const QUEUE_TIMEOUT_COST: u32 = 3;
 
 struct Entry {
     server: Rc<Server>,
     name: String,
     lifecycle: &'static str,
-    /// The version in which it changed last.
+    /// The generation of the list in which the entry changed last.
     generation: u64,
 }
 
@@ -66,22 +68,23 @@
     pub generation: Cell<u64>,
     pub mode: Cell<Mode>,
     rng: RefCell<StdRng>,
-    /// What each daemon was refused in a row; see `REFUSED_MOST`.
-    refused: RefCell<BTreeMap<usize, u32>>,
-    /// The whole list as each daemon was last told it.
-    last_told: RefCell<BTreeMap<usize, Value>>,
-    world: Runtime,
-    ledger: Ledger,
+    /// Refusals in a row by daemon; see `MAX_CONSECUTIVE_REFUSALS`.
+    consecutive_refusals: RefCell<BTreeMap<usize, u32>>,
+    /// The complete list as it was last sent to each daemon.
+    last_sent_list: RefCell<BTreeMap<usize, Value>>,
+    runtime: Runtime,
+    log: ObservationLog,
 }
 
-/// One address of it, for one daemon; it is left when the daemon is told of another.
-pub struct Address {
-    pub at: SocketAddr,
+/// An address at which discovery serves one daemon. It is closed some time after the daemon was given another
+/// one.
+pub struct DiscoveryAddress {
+    pub address: SocketAddr,
     pub open: Rc<Cell<bool>>,
 }
 
 impl Discovery {
-    pub fn new(world: &Runtime, ledger: &Ledger, servers: &[Rc<Server>], seed: u64) -> Rc<Discovery> {
+    pub fn new(runtime: &Runtime, log: &ObservationLog, servers: &[Rc<Server>], seed: u64) -> Rc<Discovery> {
         let entry = |server: &Rc<Server>| Entry {
             server: server.clone(),
             name: server.name.clone(),
@@ -91,46 +94,46 @@
         Rc::new(Discovery {
             entries: RefCell::new(servers.iter().map(entry).collect()),
             generation: Cell::new(1),
-            mode: Cell::new(Mode::Well),
+            mode: Cell::new(Mode::Healthy),
             rng: RefCell::new(StdRng::seed_from_u64(seed)),
-            refused: RefCell::default(),
-            last_told: RefCell::default(),
-            world: world.clone(),
-            ledger: ledger.clone(),
+            consecutive_refusals: RefCell::default(),
+            last_sent_list: RefCell::default(),
+            runtime: runtime.clone(),
+            log: log.clone(),
         })
     }
 
     /// Opens an address for a daemon.
-    pub fn open(self: &Rc<Self>, daemon: usize) -> Result<Address, String> {
+    pub fn open(self: &Rc<Self>, daemon: usize) -> Result<DiscoveryAddress, String> {
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).map_err(|e| e.to_string())?;
-        let at = listener.get_ref().local_addr().map_err(|e| e.to_string())?;
+        let address = listener.get_ref().local_addr().map_err(|e| e.to_string())?;
         let open = Rc::new(Cell::new(true));
         let (this, is_open) = (self.clone(), open.clone());
-        self.world.spawn(async move {
+        self.runtime.spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 if !is_open.get() {
                     return;
                 }
-                let serve = this.clone().serve(daemon, is_open.clone(), Connection::new(stream));
-                this.world.spawn(serve);
+                let serve = this.clone().serve(daemon, is_open.clone(), ServerConnection::new(stream));
+                this.runtime.spawn(serve);
             }
         });
-        Ok(Address { at, open })
+        Ok(DiscoveryAddress { address, open })
     }
 
-    /// The list says this of a server from now on.
-    pub fn set(&self, name: &str, lifecycle: &'static str) {
+    /// Changes the lifecycle of a server in the list.
+    pub fn set_lifecycle(&self, name: &str, lifecycle: &'static str) {
         let generation = self.next_generation();
         if let Some(entry) = self.entries.borrow_mut().iter_mut().find(|e| e.name == name) {
             (entry.lifecycle, entry.generation) = (lifecycle, generation);
         }
         if lifecycle != "Ready" {
-            let drained = Drained { server: name.to_owned(), at: self.world.now(), generation };
-            self.ledger.with(|seen| seen.drained.push(drained));
+            let drain = Drain { server: name.to_owned(), at: self.runtime.now(), generation };
+            self.log.with(|observations| observations.drains.push(drain));
         }
     }
 
-    /// A server is new to the list.
+    /// Adds a server to the list.
     pub fn add(&self, server: &Rc<Server>) {
         let generation = self.next_generation();
         let name = server.name.clone();
@@ -147,134 +150,137 @@
         self.generation.get()
     }
 
-    /// The list, or what of it has changed since a version.
+    /// The complete list, or the changes since a generation.
     pub fn list(&self, since: Option<u64>) -> Value {
         let entries = self.entries.borrow();
-        let named = |e: &&Entry| match since {
+        let is_included = |e: &&Entry| match since {
             Some(since) => e.generation > since,
             None => e.lifecycle != "Gone",
         };
-        let one = |e: &Entry| {
+        let entry_json = |e: &Entry| {
             json!({"instanceId": e.name, "hostPort": e.server.address.to_string(), "zone": "floor-2",
                 "machineType": "club", "cell": e.server.destination, "lifecycle": e.lifecycle, "weight": 50.0,
                 "startedAtMs": 0})
         };
-        let instances: Vec<_> = entries.iter().filter(named).map(one).collect();
+        let instances: Vec<_> = entries.iter().filter(is_included).map(entry_json).collect();
         json!({"generation": self.generation.get(), "reset": since.is_none(), "instances": instances})
     }
 
-    /// The list that a daemon's configuration names at its start: as it last had it.
-    pub fn known_to(&self, daemon: usize) -> Option<Value> {
-        self.last_told.borrow().get(&daemon).cloned()
+    /// The list that was last sent to a daemon, which its configuration contains at its next start.
+    pub fn last_list_sent_to(&self, daemon: usize) -> Option<Value> {
+        self.last_sent_list.borrow().get(&daemon).cloned()
     }
 
-    /// The list that a daemon was told last names a server.
-    pub fn told(&self, daemon: usize, server: &str) -> bool {
-        let names = |list: &Value| {
+    /// Whether the list that was last sent to a daemon contains a server.
+    pub fn last_list_names(&self, daemon: usize, server: &str) -> bool {
+        let contains_server = |list: &Value| {
             let instances = list["instances"].as_array();
-            instances.is_some_and(|all| all.iter().any(|one| one["instanceId"] == server))
+            instances.is_some_and(|all| all.iter().any(|entry| entry["instanceId"] == server))
         };
-        self.last_told.borrow().get(&daemon).is_some_and(names)
+        self.last_sent_list.borrow().get(&daemon).is_some_and(contains_server)
     }
 
-    async fn serve(self: Rc<Discovery>, daemon: usize, open: Rc<Cell<bool>>, mut connection: Connection) {
+    async fn serve(
+        self: Rc<Discovery>, daemon: usize, open: Rc<Cell<bool>>, mut connection: ServerConnection,
+    ) {
         while let Ok(Some(request)) = connection.next_request().await {
-            let lasts = if request.method == "POST" {
-                self.notices(&request);
+            let keep_open = if request.method == "POST" {
+                self.receive_notices(&request);
                 connection.respond(204, "", "").await.is_ok()
             } else {
-                self.call(daemon, &open, &mut connection, &request).await
+                self.handle_list_call(daemon, &open, &mut connection, &request).await
             };
-            if !lasts {
+            if !keep_open {
                 return;
             }
         }
     }
 
-    fn notices(&self, request: &Request) {
-        let now = self.world.now();
+    fn receive_notices(&self, request: &Request) {
+        let now = self.runtime.now();
         for line in String::from_utf8_lossy(&request.body).lines() {
             let id =
                 serde_json::from_str::<Value>(line).ok().and_then(|v| v["id"].as_str().map(str::to_owned));
-            self.ledger.with(|seen| {
-                if let Some(message) = id.and_then(|id| seen.messages.get_mut(&id)) {
-                    message.noticed.get_or_insert(now);
+            self.log.with(|observations| {
+                if let Some(message) = id.and_then(|id| observations.messages.get_mut(&id)) {
+                    message.notice_received_at.get_or_insert(now);
                 }
             });
         }
     }
 
-    /// This mode hits the call of a daemon that is there now, if it does.
-    fn hits(&self, daemon: usize) -> Option<Mode> {
+    /// The current mode, if it affects this call of a daemon.
+    fn fault_for_call(&self, daemon: usize) -> Option<Mode> {
         let mode = self.mode.get();
         let (share, cost) = match mode {
-            Mode::Well => return None,
+            Mode::Healthy => return None,
             Mode::Silent | Mode::Down => return Some(mode),
-            Mode::Crowded(share) | Mode::Spoilt(share) => (share, 1),
-            Mode::Slow(share) => (share, QUEUED),
+            Mode::Overloaded(share) | Mode::InvalidResponse(share) => (share, 1),
+            Mode::QueueFull(share) => (share, QUEUE_TIMEOUT_COST),
         };
-        let mut refused = self.refused.borrow_mut();
-        let refused = refused.entry(daemon).or_default();
-        let hits = *refused + cost <= REFUSED_MOST && self.rng.borrow_mut().random_bool(share);
-        *refused = if hits { *refused + cost } else { 0 };
-        hits.then_some(mode)
+        let mut consecutive_refusals = self.consecutive_refusals.borrow_mut();
+        let consecutive_refusals = consecutive_refusals.entry(daemon).or_default();
+        let affected = *consecutive_refusals + cost <= MAX_CONSECUTIVE_REFUSALS
+            && self.rng.borrow_mut().random_bool(share);
+        *consecutive_refusals = if affected { *consecutive_refusals + cost } else { 0 };
+        affected.then_some(mode)
     }
 
-    /// One call for the list. Whether its connection lasts.
-    async fn call(
-        &self, daemon: usize, open: &Cell<bool>, connection: &mut Connection, request: &Request,
+    /// Handles one call for the list. Returns whether the connection stays open.
+    async fn handle_list_call(
+        &self, daemon: usize, open: &Cell<bool>, connection: &mut ServerConnection, request: &Request,
     ) -> bool {
-        if let Some(mode) = self.hits(daemon) {
-            self.ledger.met(mode.name());
+        if let Some(mode) = self.fault_for_call(daemon) {
+            self.log.record_fault_hit(mode.name());
             match mode {
-                Mode::Crowded(_) => return connection.respond(503, "", "").await.is_ok(),
-                Mode::Slow(_) => {
-                    sleep(QUEUE_S).await;
+                Mode::Overloaded(_) => return connection.respond(503, "", "").await.is_ok(),
+                Mode::QueueFull(_) => {
+                    sleep(QUEUE_TIME_S).await;
                     return connection.respond(503, "", "").await.is_ok();
                 }
                 Mode::Silent => {
                     connection.wait_for_close().await;
                     return false;
                 }
-                Mode::Spoilt(_) => {
+                Mode::InvalidResponse(_) => {
                     let _ = connection.respond(200, "", "{\"generation\": no").await;
                     return false;
                 }
-                Mode::Well | Mode::Down => {
+                Mode::Healthy | Mode::Down => {
                     reset(&connection.stream);
                     return false;
                 }
             }
         }
-        let number = |key: &str| {
-            let at = request.path.split(['?', '&']).find_map(|p| p.strip_prefix(key));
-            at.and_then(|n| n.parse::<u64>().ok())
+        let query_number = |key: &str| {
+            let value = request.path.split(['?', '&']).find_map(|p| p.strip_prefix(key));
+            value.and_then(|text| text.parse::<u64>().ok())
         };
-        let since = number("since=").filter(|since| *since <= self.generation.get());
-        let ends = self.world.now() + number("timeout_ms=").unwrap_or(0) as f64 / 1000.0;
-        while since == Some(self.generation.get()) && self.world.now() < ends {
-            let looks = async {
-                sleep(LOOK_S).await;
+        let since = query_number("since=").filter(|since| *since <= self.generation.get());
+        let watch_ends_at = self.runtime.now() + query_number("timeout_ms=").unwrap_or(0) as f64 / 1000.0;
+        while since == Some(self.generation.get()) && self.runtime.now() < watch_ends_at {
+            let poll_delay = async {
+                sleep(WATCH_POLL_INTERVAL_S).await;
                 false
             };
-            // Nothing counts as told to one who has left.
-            let left = future::or(looks, async {
+            // A list does not count as sent to a daemon that has disconnected.
+            let disconnected = future::or(poll_delay, async {
                 connection.wait_for_close().await;
                 true
             });
-            if left.await {
+            if disconnected.await {
                 return false;
             }
             match self.mode.get() {
                 _ if !open.get() => return false,
                 Mode::Down => {
-                    self.ledger.met(Mode::Down.name());
+                    self.log.record_fault_hit(Mode::Down.name());
                     reset(&connection.stream);
                     return false;
                 }
-                // A watch that falls silent stays so.
+                // A watch that was silenced is never answered, also after the mode has changed.
                 Mode::Silent => {
-                    self.ledger.met(Mode::Silent.name());
+                    self.log.record_fault_hit(Mode::Silent.name());
                     connection.wait_for_close().await;
                     return false;
                 }
@@ -283,9 +289,9 @@
         }
         let (generation, body) = (self.generation.get(), self.list(since).to_string());
         let written = connection.respond(200, "", &body).await.is_ok();
-        let now = self.world.now();
-        self.ledger.with(|seen| seen.told.push((now, daemon, generation)));
-        self.last_told.borrow_mut().insert(daemon, self.list(None));
+        let now = self.runtime.now();
+        self.log.with(|observations| observations.list_deliveries.push((now, daemon, generation)));
+        self.last_sent_list.borrow_mut().insert(daemon, self.list(None));
         written
     }
 }
--- a/lab/src/soak/judge.rs
+++ b/lab/src/soak/judge.rs
@@ -1,35 +1,38 @@
-//! The rules, judged by what the stand-ins saw.
+//! Judges the rules of the soak test from what the stand-ins observed.
 
-use super::ledger::{Call, Class, Drained, Heard, Message, Restart, Seen, Upgrade, Wait};
+use super::observations::{
+    Call, Class, ClientResult, Drain, Message, Observations, Restart, RetryAfter, Upgrade,
+};
 use std::collections::BTreeMap;
 
-/// The stand-ins may see things late by this, beside what they measured of their own lateness.
+/// Tolerance for late observations by the stand-ins, added to the lateness that they measured themselves.
 const SLACK_S: f64 = 0.05;
-/// Nothing new may reach a server so long after its drain was known.
+/// Time after a drain became known to a daemon from which no new call of that daemon may reach the server.
 const DRAIN_GRACE_S: f64 = 1.0;
-/// A change counts as known so long after discovery had it and could be reached.
+/// A list change counts as known this long after discovery had it and could be reached.
 const KNOWN_WITHIN_S: f64 = 6.0;
-/// An end may come so long after the message's time.
-const END_GRACE_S: f64 = 0.3;
-/// A daemon has room again so long after a crowd has left.
-const CROWD_LEAVES_S: f64 = 0.5;
-/// After a restart no end is overdue before.
+/// Time after its deadline within which the outcome of a message must be reported.
+const OUTCOME_GRACE_S: f64 = 0.3;
+/// Time after a connection flood within which a daemon may still lack room for new connections.
+const FLOOD_RECOVERY_S: f64 = 0.5;
+/// No outcome is overdue until this long after a restart.
 const RESTART_GRACE_S: f64 = 1.5;
-/// What discovery tells binds a second process from so long after it said that it is ready.
+/// Answers of discovery bind the second process of an upgrade from this long after it reported that it is
+/// ready.
 const UPGRADE_GRACE_S: f64 = 2.0;
-/// Calls that cross the answer which tells a wait pass.
-const WAIT_GRACE_S: f64 = 0.1;
+/// Calls that start within this time after a Retry-After was sent may have crossed it, and are allowed.
+const RETRY_AFTER_GRACE_S: f64 = 0.1;
 
-/// What the settings of the run say.
+/// Values of the run that the judgement depends on.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
-    /// A repeat of a keyed message is dropped for so long.
-    pub window_s: f64,
-    /// How late the stand-ins have been at most.
+pub struct JudgeParameters {
+    /// Time within which a repeat of a keyed message is dropped.
+    pub dedup_window_s: f64,
+    /// The greatest lateness that the stand-ins measured of themselves.
     pub lateness_s: f64,
 }
 
-/// Violations of each rule, and a line for each.
+/// Number of violations of each rule, and one line for each violation.
 #[derive(Debug, Default)]
 pub struct Verdict {
     pub counts: BTreeMap<&'static str, u64>,
@@ -52,68 +55,71 @@
 }
 
 /// Judges a run that has ended.
-pub fn judge(seen: &Seen, terms: Terms) -> Verdict {
+pub fn judge(observations: &Observations, parameters: JudgeParameters) -> Verdict {
     let mut verdict = Verdict::default();
-    drains(seen, terms, &mut verdict);
-    repeats(seen, terms, &mut verdict);
-    ends(seen, terms, &mut verdict);
-    waits(seen, terms, &mut verdict);
-    maintenance(seen, terms, &mut verdict);
+    judge_drains(observations, parameters, &mut verdict);
+    judge_repeats(observations, parameters, &mut verdict);
+    judge_outcomes(observations, parameters, &mut verdict);
+    judge_retry_afters(observations, parameters, &mut verdict);
+    judge_maintenance(observations, parameters, &mut verdict);
     verdict
 }
 
-fn slack(terms: Terms) -> f64 {
-    SLACK_S + terms.lateness_s
+fn slack(parameters: JudgeParameters) -> f64 {
+    SLACK_S + parameters.lateness_s
 }
 
-/// When a daemon was first told a version of the list.
-fn told_at(seen: &Seen, daemon: usize, generation: u64) -> f64 {
-    let told = seen.told.iter().filter(|(_, d, g)| *d == daemon && *g >= generation);
-    told.map(|(t, ..)| *t).fold(f64::INFINITY, f64::min)
+/// When a daemon first received a generation of the list or a newer one.
+fn first_delivery_at(observations: &Observations, daemon: usize, generation: u64) -> f64 {
+    let deliveries = observations.list_deliveries.iter().filter(|(_, d, g)| *d == daemon && *g >= generation);
+    deliveries.map(|(t, ..)| *t).fold(f64::INFINITY, f64::min)
 }
 
-/// When a daemon's process of a time counts as knowing of a drain: once it was told, or some time after discovery had it and
-/// could be reached. A process that starts anew has the list that the one before it was told last.
-fn known_at(seen: &Seen, daemon: usize, drained: &Drained, process_start: f64) -> f64 {
-    let told = told_at(seen, daemon, drained.generation).max(process_start);
-    let known = told.min(due_at(seen, drained.at.max(process_start)));
-    let upgrades = seen.upgrades.iter().filter(|u| u.daemon == daemon);
+/// When the process that a daemon ran at a time counts as knowing of a drain: once it received the list, or
+/// some time after discovery had the change and could be reached. A new process starts with the list that the
+/// previous one received last.
+fn drain_known_at(observations: &Observations, daemon: usize, drain: &Drain, process_start: f64) -> f64 {
+    let delivered_at = first_delivery_at(observations, daemon, drain.generation).max(process_start);
+    let known = delivered_at.min(known_latest_at(observations, drain.at.max(process_start)));
+    let upgrades = observations.upgrades.iter().filter(|u| u.daemon == daemon);
     let not_before = upgrades.filter_map(|u| {
-        let binds = u.ready.map_or(f64::INFINITY, |ready| ready + UPGRADE_GRACE_S);
-        // One that was given up tells nothing of the other.
-        let over = if u.ready.is_none() { u.killed } else { None };
-        let binds = over.unwrap_or(binds);
-        (u.from <= known && known < binds).then_some(binds)
+        let binds = u.ready_at.map_or(f64::INFINITY, |ready_at| ready_at + UPGRADE_GRACE_S);
+        // A second process that was killed before it was ready does not affect what the first one knows.
+        let aborted_at = if u.ready_at.is_none() { u.killed_at } else { None };
+        let binds = aborted_at.unwrap_or(binds);
+        (u.started_at <= known && known < binds).then_some(binds)
     });
     not_before.fold(known, f64::max)
 }
 
-/// So long after a time, counted anew whenever discovery can be reached again.
-fn due_at(seen: &Seen, at: f64) -> f64 {
-    let mut spans = seen.unreachable.clone();
-    spans.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let mut due = at + KNOWN_WITHIN_S;
-    for (from, until) in spans {
-        if from < due && until > at {
-            due = due.max(until + KNOWN_WITHIN_S);
+/// When a list change counts as known at the latest; the time starts anew whenever discovery can be reached
+/// again.
+fn known_latest_at(observations: &Observations, changed_at: f64) -> f64 {
+    let mut outages = observations.discovery_outages.clone();
+    outages.sort_by(|a, b| a.0.total_cmp(&b.0));
+    let mut latest = changed_at + KNOWN_WITHIN_S;
+    for (from, until) in outages {
+        if from < latest && until > changed_at {
+            latest = latest.max(until + KNOWN_WITHIN_S);
         }
     }
-    due
+    latest
 }
 
-/// When the process that a daemon has at a time could have begun.
-fn started_before(seen: &Seen, daemon: usize, at: f64) -> f64 {
-    let starts = seen.restarts.iter().filter(|r| r.daemon == daemon).filter_map(|r| r.down);
-    starts.filter(|down| *down <= at).fold(0.0, f64::max)
+/// The earliest time at which the process that a daemon ran at a time can have started.
+fn earliest_process_start(observations: &Observations, daemon: usize, at: f64) -> f64 {
+    let starts = observations.restarts.iter().filter(|r| r.daemon == daemon).filter_map(|r| r.exited_at);
+    starts.filter(|exited_at| *exited_at <= at).fold(0.0, f64::max)
 }
 
-fn drains(seen: &Seen, terms: Terms, verdict: &mut Verdict) {
-    for drained in &seen.drained {
-        for call in seen.calls.iter().filter(|c| c.server == drained.server && c.began > drained.at) {
-            let start = started_before(seen, call.daemon, call.began);
-            let known = known_at(seen, call.daemon, drained, start);
-            let late = call.began - known - DRAIN_GRACE_S;
-            if late > slack(terms) {
+fn judge_drains(observations: &Observations, parameters: JudgeParameters, verdict: &mut Verdict) {
+    for drain in &observations.drains {
+        for call in observations.calls.iter().filter(|c| c.server == drain.server && c.started_at > drain.at)
+        {
+            let start = earliest_process_start(observations, call.daemon, call.started_at);
+            let known = drain_known_at(observations, call.daemon, drain, start);
+            let late = call.started_at - known - DRAIN_GRACE_S;
+            if late > slack(parameters) {
                 let (id, server) = (&call.id, &call.server);
                 verdict.add("drain", format!("{id} went to {server} {late:.3} s after the grace period"));
             }
@@ -121,25 +127,30 @@
     }
 }
 
-fn repeats(seen: &Seen, terms: Terms, verdict: &mut Verdict) {
+fn judge_repeats(observations: &Observations, parameters: JudgeParameters, verdict: &mut Verdict) {
     let mut by_id: BTreeMap<&str, Vec<&Call>> = BTreeMap::new();
-    seen.calls.iter().for_each(|c| by_id.entry(&c.id).or_default().push(c));
+    observations.calls.iter().for_each(|c| by_id.entry(&c.id).or_default().push(c));
     for (id, calls) in by_id {
-        let class = seen.messages.get(id).map_or(Class::Unsafe, |m| m.class);
-        let runs: Vec<&&Call> = calls.iter().filter(|c| c.ran).collect();
+        let class = observations.messages.get(id).map_or(Class::Unsafe, |m| m.class);
+        let runs: Vec<&&Call> = calls.iter().filter(|c| c.took_effect).collect();
         let allowed = match class {
             Class::Safe => true,
             Class::Unsafe => runs.len() <= 1,
-            Class::Keyed => runs.iter().all(|r| r.began - runs[0].began <= terms.window_s + slack(terms)),
+            Class::Keyed => runs
+                .iter()
+                .all(|r| r.started_at - runs[0].started_at <= parameters.dedup_window_s + slack(parameters)),
         };
         if !allowed {
-            let times: Vec<_> = runs.iter().map(|r| format!("{:.3}", r.began)).collect();
+            let times: Vec<_> = runs.iter().map(|r| format!("{:.3}", r.started_at)).collect();
             verdict.add("duplicate", format!("{id} ({class:?}) ran at {}", times.join(", ")));
         }
         for pair in calls.windows(2) {
-            let out = pair[0].over.is_none_or(|over| over > pair[1].began + slack(terms));
-            if out && !restarted(seen, pair[0].daemon, pair[0].began, pair[1].began) {
-                let (first, second) = (pair[0].began, pair[1].began);
+            let still_open =
+                pair[0].ended_at.is_none_or(|ended_at| ended_at > pair[1].started_at + slack(parameters));
+            if still_open
+                && !was_restarted(observations, pair[0].daemon, pair[0].started_at, pair[1].started_at)
+            {
+                let (first, second) = (pair[0].started_at, pair[1].started_at);
                 verdict.add(
                     "overlap",
                     format!("{id} was out from {first:.3} when it went again at {second:.3}"),
@@ -149,134 +160,148 @@
     }
 }
 
-/// A daemon was started anew between two times.
-fn restarted(seen: &Seen, daemon: usize, from: f64, until: f64) -> bool {
-    seen.restarts.iter().any(|r| r.daemon == daemon && r.from < until && r.ready.is_none_or(|at| at > from))
+/// Whether a restart of a daemon was under way between two times.
+fn was_restarted(observations: &Observations, daemon: usize, from: f64, until: f64) -> bool {
+    observations.restarts.iter().any(|r| {
+        r.daemon == daemon && r.signalled_at < until && r.ready_at.is_none_or(|ready_at| ready_at > from)
+    })
 }
 
-fn maintenance(seen: &Seen, terms: Terms, verdict: &mut Verdict) {
-    for out in &seen.maintenance {
-        let from = out.from + DRAIN_GRACE_S + slack(terms);
-        let calls = seen.calls.iter().filter(|c| c.daemon == out.daemon && c.server == out.server);
-        for call in calls.filter(|c| c.began > from && c.began < out.until - slack(terms)) {
-            let (id, server, after) = (&call.id, &call.server, call.began - out.from);
+fn judge_maintenance(observations: &Observations, parameters: JudgeParameters, verdict: &mut Verdict) {
+    for maintenance in &observations.maintenance {
+        let from = maintenance.from + DRAIN_GRACE_S + slack(parameters);
+        let calls = observations
+            .calls
+            .iter()
+            .filter(|c| c.daemon == maintenance.daemon && c.server == maintenance.server);
+        for call in
+            calls.filter(|c| c.started_at > from && c.started_at < maintenance.until - slack(parameters))
+        {
+            let (id, server, after) = (&call.id, &call.server, call.started_at - maintenance.from);
             verdict.add("maintenance", format!("{id} went to {server} {after:.3} s after it was taken out"));
         }
     }
-    for wrong in &seen.operators_wrong {
-        verdict.add("operators", wrong.clone());
+    for error in &observations.operator_errors {
+        verdict.add("operators", error.clone());
     }
-    for wrong in &seen.settings_wrong {
-        verdict.add("settings", wrong.clone());
+    for error in &observations.settings_errors {
+        verdict.add("settings", error.clone());
     }
 }
 
-fn ends(seen: &Seen, terms: Terms, verdict: &mut Verdict) {
+fn judge_outcomes(observations: &Observations, parameters: JudgeParameters, verdict: &mut Verdict) {
     let mut delivered: BTreeMap<&str, f64> = BTreeMap::new();
-    for call in seen.calls.iter().filter(|c| c.status == Some(200)) {
-        let at = call.over.unwrap_or(f64::INFINITY);
+    for call in observations.calls.iter().filter(|c| c.status == Some(200)) {
+        let at = call.ended_at.unwrap_or(f64::INFINITY);
         delivered.entry(&call.id).and_modify(|t| *t = t.min(at)).or_insert(at);
     }
-    for (id, message) in &seen.messages {
-        let restarts: Vec<_> = seen.restarts.iter().filter(|r| r.daemon == message.daemon).collect();
-        let upgrades: Vec<_> = seen.upgrades.iter().filter(|u| u.daemon == message.daemon).collect();
-        match message.heard {
-            Some(Heard::Status(200 | 202)) => {
-                let end = delivered.get(id.as_str()).copied().into_iter().chain(message.noticed);
+    for (id, message) in &observations.messages {
+        let restarts: Vec<_> = observations.restarts.iter().filter(|r| r.daemon == message.daemon).collect();
+        let upgrades: Vec<_> = observations.upgrades.iter().filter(|u| u.daemon == message.daemon).collect();
+        match message.client_result {
+            Some(ClientResult::Status(200 | 202)) => {
+                let end = delivered.get(id.as_str()).copied().into_iter().chain(message.notice_received_at);
                 let end = end.fold(f64::INFINITY, f64::min);
-                let due = due(message, &restarts, &upgrades) + slack(terms);
+                let due = outcome_due_at(message, &restarts, &upgrades) + slack(parameters);
                 if end > due {
-                    let history = history(seen, id, message);
+                    let history = history(observations, id, message);
                     verdict.add("lost", format!("{id} ends at {end:.3} and not by {due:.3}; {history}"));
                 }
             }
-            Some(Heard::Closed) if may_be_closed(seen, message, &restarts) => {}
-            Some(Heard::Closed) if !message.on_kept_connection => {
-                verdict.add("unanswered", format!("{id}, handed in at {:.3}", message.handed_in));
+            Some(ClientResult::Closed) if may_be_closed(observations, message, &restarts) => {}
+            Some(ClientResult::Closed) if !message.on_reused_connection => {
+                verdict.add("unanswered", format!("{id}, handed in at {:.3}", message.submitted_at));
             }
             _ => {}
         }
     }
 }
 
-/// What the stand-ins saw of a message, for whoever traces it.
-fn history(seen: &Seen, id: &str, message: &Message) -> String {
-    let Message { class, handed_in, deadline, .. } = message;
-    let mut text = format!("{class:?}, handed in at {handed_in:.3}, deadline {deadline:.3}");
-    for call in seen.calls.iter().filter(|c| c.id == id) {
-        let Call { server, began, over, status, .. } = call;
-        text += &format!("; called {server} at {began:.3}, over {over:?}, status {status:?}");
+/// Everything observed of a message and its daemon, for the analysis of a violation.
+fn history(observations: &Observations, id: &str, message: &Message) -> String {
+    let Message { class, submitted_at, deadline, .. } = message;
+    let mut text = format!("{class:?}, handed in at {submitted_at:.3}, deadline {deadline:.3}");
+    for call in observations.calls.iter().filter(|c| c.id == id) {
+        let Call { server, started_at, ended_at, status, .. } = call;
+        text += &format!("; called {server} at {started_at:.3}, over {ended_at:?}, status {status:?}");
     }
-    for restart in seen.restarts.iter().filter(|r| r.daemon == message.daemon) {
-        let Restart { from, down, ready, .. } = restart;
-        text += &format!("; restart from {from:.3}, down {down:?}, ready {ready:?}");
+    for restart in observations.restarts.iter().filter(|r| r.daemon == message.daemon) {
+        let Restart { signalled_at, exited_at, ready_at, .. } = restart;
+        text += &format!("; restart from {signalled_at:.3}, down {exited_at:?}, ready {ready_at:?}");
     }
-    for upgrade in seen.upgrades.iter().filter(|u| u.daemon == message.daemon) {
-        let Upgrade { from, ready, killed, .. } = upgrade;
-        text += &format!("; upgrade from {from:.3}, ready {ready:?}, killed {killed:?}");
+    for upgrade in observations.upgrades.iter().filter(|u| u.daemon == message.daemon) {
+        let Upgrade { started_at, ready_at, killed_at, .. } = upgrade;
+        text += &format!("; upgrade from {started_at:.3}, ready {ready_at:?}, killed {killed_at:?}");
     }
     text
 }
 
-/// Its process had ended, or a crowd had taken all places: its connection may have been shut unread.
-fn may_be_closed(seen: &Seen, message: &Message, restarts: &[&Restart]) -> bool {
-    let at = message.handed_in;
-    let crowded = seen
-        .crowds
+/// Whether the daemon may have closed the connection of a message unread: its process had ended, or a
+/// connection flood had taken all of its connection places.
+fn may_be_closed(observations: &Observations, message: &Message, restarts: &[&Restart]) -> bool {
+    let at = message.submitted_at;
+    let flooded = observations
+        .connection_floods
         .iter()
-        .any(|(d, from, until)| *d == message.daemon && (*from..*until + CROWD_LEAVES_S).contains(&at));
-    let killed = seen.upgrades.iter().filter(|u| u.daemon == message.daemon).filter_map(|u| u.killed);
-    let killed = killed.into_iter().any(|killed| at <= killed && killed < at + 1.0);
-    crowded || killed || was_down(message, restarts)
+        .any(|(d, from, until)| *d == message.daemon && (*from..*until + FLOOD_RECOVERY_S).contains(&at));
+    let kills =
+        observations.upgrades.iter().filter(|u| u.daemon == message.daemon).filter_map(|u| u.killed_at);
+    let killed = kills.into_iter().any(|killed_at| at <= killed_at && killed_at < at + 1.0);
+    flooded || killed || was_down(message, restarts)
 }
 
-/// When the end of a message is due at the latest.
-fn due(message: &Message, restarts: &[&Restart], upgrades: &[&Upgrade]) -> f64 {
-    let mut due = message.deadline + END_GRACE_S;
+/// When the outcome of a message is due at the latest.
+fn outcome_due_at(message: &Message, restarts: &[&Restart], upgrades: &[&Upgrade]) -> f64 {
+    let mut due = message.deadline + OUTCOME_GRACE_S;
     for restart in restarts {
-        let over = restart.ready.unwrap_or(f64::INFINITY) + RESTART_GRACE_S;
-        if restart.from < due && over > message.handed_in {
+        let over = restart.ready_at.unwrap_or(f64::INFINITY) + RESTART_GRACE_S;
+        if restart.signalled_at < due && over > message.submitted_at {
             due = due.max(over);
         }
     }
-    // What a process that was killed owed is another's from then on.
-    for killed in upgrades.iter().filter_map(|u| u.killed) {
-        if message.handed_in < killed && killed < due {
-            due = due.max(killed + RESTART_GRACE_S);
+    // The other process takes over the open messages of a process that was killed.
+    for killed_at in upgrades.iter().filter_map(|u| u.killed_at) {
+        if message.submitted_at < killed_at && killed_at < due {
+            due = due.max(killed_at + RESTART_GRACE_S);
         }
     }
     due
 }
 
-/// Its daemon had ended, by itself or not, while it waited for its answer.
+/// Whether the daemon's process had ended, by itself or not, while the client waited for its answer.
 fn was_down(message: &Message, restarts: &[&Restart]) -> bool {
-    let until = message.handed_in + 1.0;
-    let down = |r: &&Restart| r.down.is_some_and(|at| at < until);
-    restarts.iter().copied().filter(down).any(|r| r.ready.is_none_or(|at| at > message.handed_in))
+    let until = message.submitted_at + 1.0;
+    let exited = |r: &&Restart| r.exited_at.is_some_and(|at| at < until);
+    restarts
+        .iter()
+        .copied()
+        .filter(exited)
+        .any(|r| r.ready_at.is_none_or(|ready_at| ready_at > message.submitted_at))
 }
 
-/// A process that is killed right behind an answer may not have read it.
-fn told_to_the_dying(seen: &Seen, wait: &Wait) -> bool {
-    let killed = seen.upgrades.iter().filter(|u| u.daemon == wait.daemon).filter_map(|u| u.killed);
-    killed.into_iter().any(|killed| (killed - SLACK_S..=killed).contains(&wait.told))
+/// Whether a Retry-After was sent to a process that was killed right afterwards and may not have read it.
+fn sent_to_killed_process(observations: &Observations, retry_after: &RetryAfter) -> bool {
+    let kills =
+        observations.upgrades.iter().filter(|u| u.daemon == retry_after.daemon).filter_map(|u| u.killed_at);
+    kills.into_iter().any(|killed_at| (killed_at - SLACK_S..=killed_at).contains(&retry_after.sent_at))
 }
 
-fn waits(seen: &Seen, terms: Terms, verdict: &mut Verdict) {
+fn judge_retry_afters(observations: &Observations, parameters: JudgeParameters, verdict: &mut Verdict) {
     let destinations: BTreeMap<&str, u64> =
-        seen.waits.iter().map(|w| (w.server.as_str(), w.destination)).collect();
-    for wait in &seen.waits {
-        let from = wait.told + WAIT_GRACE_S + slack(terms);
-        let until = wait.until - slack(terms);
-        let hit = seen.calls.iter().find(|c| {
-            c.daemon == wait.daemon
-                && destinations.get(c.server.as_str()) == Some(&wait.destination)
-                && c.began > from
-                && c.began < until
-                && !restarted(seen, wait.daemon, wait.told, c.began)
-                && !told_to_the_dying(seen, wait)
+        observations.retry_afters.iter().map(|w| (w.server.as_str(), w.destination)).collect();
+    for retry_after in &observations.retry_afters {
+        let from = retry_after.sent_at + RETRY_AFTER_GRACE_S + slack(parameters);
+        let until = retry_after.until - slack(parameters);
+        let violation = observations.calls.iter().find(|c| {
+            c.daemon == retry_after.daemon
+                && destinations.get(c.server.as_str()) == Some(&retry_after.destination)
+                && c.started_at > from
+                && c.started_at < until
+                && !was_restarted(observations, retry_after.daemon, retry_after.sent_at, c.started_at)
+                && !sent_to_killed_process(observations, retry_after)
         });
-        if let Some(call) = hit {
-            let (id, after) = (&call.id, call.began - wait.told);
+        if let Some(call) = violation {
+            let (id, after) = (&call.id, call.started_at - retry_after.sent_at);
             verdict.add("wait", format!("{id} went to {} {after:.3} s after its wait was told", call.server));
         }
     }
--- a/lab/src/soak/operators.rs
+++ b/lab/src/soak/operators.rs
@@ -1,6 +1,7 @@
-//! Operators of a daemon: they take a server out, restart it, and put it back, and now and then call wrongly.
+//! Operators of a daemon: they put a server into maintenance, restart it, and end the maintenance. They also
+//! send invalid, repeated and incomplete commands.
 
-use super::ledger::Maintenance;
+use super::observations::Maintenance;
 use super::run::Run;
 use super::server;
 use crate::daemon::{ProcessChoice, send_operator_command};
@@ -9,91 +10,103 @@
 use futures_lite::AsyncWriteExt;
 use std::net::TcpStream;
 
-/// Between two tries of a call that nobody answers: its daemon is down, or being started.
-const AGAIN_S: f64 = 0.1;
-/// What the server is out for before its operators restart it, and how long that takes.
-const RESTART_AFTER_S: f64 = 1.2;
-const RESTART_S: f64 = 0.5;
-const HALF_A_CALL_STAYS_S: f64 = 4.0;
+/// Interval between two tries of a command that gets no answer because the daemon is down or being started.
+const RETRY_INTERVAL_S: f64 = 0.1;
+/// Time from the begin of the maintenance until the server is restarted.
+const SERVER_RESTART_DELAY_S: f64 = 1.2;
+/// Time that the server's restart takes.
+const SERVER_RESTART_S: f64 = 0.5;
+/// A connection with an incomplete command is kept open for this long.
+const PARTIAL_COMMAND_OPEN_S: f64 = 4.0;
 
 impl Run {
-    pub(super) async fn maintenance(&self, i: usize, server: usize, lasts: f64) {
+    pub(super) async fn maintenance(&self, index: usize, server: usize, duration_s: f64) {
         let server_name = self.servers.borrow()[server].name.clone();
-        // What the daemon was not told yet is unknown there.
-        if !self.discovery.told(i, &server_name) {
+        // The daemon rejects the name of a server that is not on the last list it received.
+        if !self.discovery.last_list_names(index, &server_name) {
             return;
         }
-        let out = &self.nodes[i].out;
-        if !out.borrow_mut().insert(server_name.clone()) {
+        let in_maintenance = &self.nodes[index].in_maintenance;
+        if !in_maintenance.borrow_mut().insert(server_name.clone()) {
             return;
         }
-        self.take_out_and_back(i, server, &server_name, lasts).await;
-        out.borrow_mut().remove(&server_name);
+        self.run_maintenance(index, server, &server_name, duration_s).await;
+        in_maintenance.borrow_mut().remove(&server_name);
     }
 
-    async fn take_out_and_back(&self, i: usize, server: usize, server_name: &str, lasts: f64) {
-        if !self.operators_say(i, "maint-on nobody", "400").await {
+    async fn run_maintenance(&self, index: usize, server: usize, server_name: &str, duration_s: f64) {
+        if !self.send_command(index, "maint-on nobody", "400").await {
             return;
         }
-        let out = format!("maint-on {server_name}");
-        if !self.operators_say(i, &out, "200").await {
+        let begin_command = format!("maint-on {server_name}");
+        if !self.send_command(index, &begin_command, "200").await {
             return;
         }
-        self.ledger.met("operators_called");
-        let from = self.world.now();
-        // The call may come twice, and half of one is none.
-        self.operators_say(i, &out, "200").await;
-        self.half_a_call(i).await;
-        sleep(RESTART_AFTER_S).await;
-        self.trouble_server(server, server::Mode::Refusing, RESTART_S).await;
-        sleep(lasts).await;
-        let until = self.put_back(i, server_name).await;
-        let (daemon, server) = (i, server_name.to_owned());
-        self.ledger.with(|seen| seen.maintenance.push(Maintenance { daemon, server, from, until }));
+        self.log.record_fault_hit("operators_called");
+        let from = self.runtime.now();
+        // A repeated command must be accepted, and an incomplete one must have no effect.
+        self.send_command(index, &begin_command, "200").await;
+        self.send_partial_command(index).await;
+        sleep(SERVER_RESTART_DELAY_S).await;
+        self.impair_server(server, server::Mode::ResetOnAccept, SERVER_RESTART_S).await;
+        sleep(duration_s).await;
+        let until = self.end_maintenance(index, server_name).await;
+        let (daemon, server) = (index, server_name.to_owned());
+        self.log.with(|observations| {
+            observations.maintenance.push(Maintenance { daemon, server, from, until });
+        });
     }
 
-    /// Calls until somebody answers. When the call was made that was answered.
-    async fn put_back(&self, i: usize, server: &str) -> f64 {
+    /// Ends the maintenance of a server, with retries until the daemon answers. Returns when the answered
+    /// command was sent.
+    async fn end_maintenance(&self, index: usize, server: &str) -> f64 {
         loop {
-            let called = self.world.now();
-            if self.operators_say(i, &format!("maint-off {server}"), "200").await || self.is_over() {
-                return called;
+            let called_at = self.runtime.now();
+            if self.send_command(index, &format!("maint-off {server}"), "200").await
+                || self.submissions_stopped()
+            {
+                return called_at;
             }
-            sleep(AGAIN_S).await;
+            sleep(RETRY_INTERVAL_S).await;
         }
     }
 
-    /// One call, of either process where there are two. Whether it was answered; another answer than this is noted.
-    async fn operators_say(&self, i: usize, line: &str, wanted: &str) -> bool {
-        let addresses = self.with(i, |d| {
+    /// Sends one command, to the older process if there are two. Returns whether it was answered with the
+    /// expected status; any other answer is recorded as an error.
+    async fn send_command(&self, index: usize, command: &str, expected_status: &str) -> bool {
+        let addresses = self.with_running(index, |d| {
             [d.operator_address(ProcessChoice::Previous), d.operator_address(ProcessChoice::Newest)]
         });
-        let Some(at) = addresses.and_then(|[old, newest]| old.or(newest)) else { return false };
-        let Some(answer) = send_operator_command(at, line).await else {
-            // One that has ended meanwhile owes nothing.
-            let lives = self.with(i, |d| d.operator_address(ProcessChoice::Newest) == Some(at)) == Some(true);
-            if lives && !self.nodes[i].changing.get() {
-                self.wrong(format!("n{i}: {line}: no answer in time"));
+        let Some(address) = addresses.and_then(|[old, newest]| old.or(newest)) else { return false };
+        let Some(answer) = send_operator_command(address, command).await else {
+            // A missing answer is an error only if the process that was called is still running.
+            let is_running = self
+                .with_running(index, |d| d.operator_address(ProcessChoice::Newest) == Some(address))
+                == Some(true);
+            if is_running && !self.nodes[index].process_change_active.get() {
+                self.record_error(format!("n{index}: {command}: no answer in time"));
             }
             return false;
         };
-        if !answer.starts_with(wanted) {
-            self.wrong(format!("n{i}: {line}: {answer}"));
+        if !answer.starts_with(expected_status) {
+            self.record_error(format!("n{index}: {command}: {answer}"));
         }
-        answer.starts_with(wanted)
+        answer.starts_with(expected_status)
     }
 
-    async fn half_a_call(&self, i: usize) {
-        if let Some(at) = self.with(i, |d| d.operator_address(ProcessChoice::Newest)).flatten() {
-            self.world.spawn(async move {
-                let Ok(mut stream) = Async::<TcpStream>::connect(at).await else { return };
+    async fn send_partial_command(&self, index: usize) {
+        if let Some(address) =
+            self.with_running(index, |d| d.operator_address(ProcessChoice::Newest)).flatten()
+        {
+            self.runtime.spawn(async move {
+                let Ok(mut stream) = Async::<TcpStream>::connect(address).await else { return };
                 let _ = stream.write_all(b"maint-o").await;
-                sleep(HALF_A_CALL_STAYS_S).await;
+                sleep(PARTIAL_COMMAND_OPEN_S).await;
             });
         }
     }
 
-    fn wrong(&self, what: String) {
-        self.ledger.with(|seen| seen.operators_wrong.push(what));
+    fn record_error(&self, error: String) {
+        self.log.with(|observations| observations.operator_errors.push(error));
     }
 }
--- a/lab/src/soak/processes.rs
+++ b/lab/src/soak/processes.rs
@@ -1,160 +1,174 @@
-//! What happens to the processes of a daemon: killed, ended, signalled, and a second one beside the first.
+//! Faults of a daemon's processes: kills, terminations, series of signals, and upgrades with a second
+//! process.
 
-use super::faults::UpgradeEnds;
-use super::ledger::Upgrade;
-use super::run::{FRONT_S, KILL_AFTER_S, LOOK_S, Run};
+use super::faults::UpgradeScenario;
+use super::observations::Upgrade;
+use super::run::{NEW_CONNECTIONS_AFTER_SIGTERM_S, POLL_INTERVAL_S, Run, SIGKILL_AFTER_S};
 use crate::daemon::{Daemon, ProcessChoice, send_operator_command};
 use crate::testbed::sleep;
 
-/// A second process has to be ready within this.
-const READY_WITHIN_S: f64 = 6.0;
-/// Between the signals of a series.
-const SIGNAL_EVERY_S: f64 = 0.015;
+/// Time within which the second process of an upgrade must be ready.
+const SECOND_PROCESS_READY_WITHIN_S: f64 = 6.0;
+/// Interval between the signals of a series.
+const SIGNAL_INTERVAL_S: f64 = 0.015;
 
 impl Run {
-    /// Begins to end, start or upgrade a daemon, unless that is under way.
-    fn begin_change(&self, i: usize) -> bool {
-        !self.nodes[i].changing.get() && self.look(i) && {
-            self.nodes[i].changing.set(true);
+    /// Reserves a daemon for a stop, start or upgrade. Returns false if another one is under way, or if the
+    /// daemon has crashed.
+    fn begin_process_change(&self, index: usize) -> bool {
+        !self.nodes[index].process_change_active.get() && self.check_for_crash(index) && {
+            self.nodes[index].process_change_active.set(true);
             true
         }
     }
 
-    fn end_change(&self, i: usize) {
-        self.nodes[i].changing.set(false);
+    fn end_process_change(&self, index: usize) {
+        self.nodes[index].process_change_active.set(false);
     }
 
-    pub(super) async fn kill(&self, i: usize) {
-        if !self.begin_change(i) {
+    pub(super) async fn kill(&self, index: usize) {
+        if !self.begin_process_change(index) {
             return;
         }
-        if self.nodes[i].clients.at.take().is_some() {
-            self.ledger.met("daemon_killed");
-            let restart = self.goes_down(i);
-            if let Some(daemon) = self.nodes[i].daemon.borrow_mut().as_mut() {
+        if self.nodes[index].clients.daemon_address.take().is_some() {
+            self.log.record_fault_hit("daemon_killed");
+            let restart = self.record_restart(index);
+            if let Some(daemon) = self.nodes[index].daemon.borrow_mut().as_mut() {
                 daemon.kill();
             }
-            self.comes_back(i, restart).await;
+            self.restart_daemon(index, restart).await;
         }
-        self.end_change(i);
+        self.end_process_change(index);
     }
 
-    /// Clients go on using open connections until the process has gone.
-    pub(super) async fn terminate(&self, i: usize, signals: u32) {
-        if !self.begin_change(i) {
+    /// Sends SIGTERM, and starts the daemon again. Clients go on using their open connections until the
+    /// process has exited.
+    pub(super) async fn terminate(&self, index: usize, signals: u32) {
+        if !self.begin_process_change(index) {
             return;
         }
-        if self.with(i, |d| d.terminate()).is_some() {
-            self.ledger.met("daemon_terminated");
-            let restart = self.goes_down(i);
-            let signalled = self.world.now();
+        if self.with_running(index, |d| d.terminate()).is_some() {
+            self.log.record_fault_hit("daemon_terminated");
+            let restart = self.record_restart(index);
+            let signalled_at = self.runtime.now();
             for _ in 1..signals {
-                sleep(SIGNAL_EVERY_S).await;
-                self.with(i, |d| {
+                sleep(SIGNAL_INTERVAL_S).await;
+                self.with_running(index, |d| {
                     d.send_sighup();
                     d.terminate();
                 });
             }
-            sleep(signalled + FRONT_S - self.world.now()).await;
-            let clients = &self.nodes[i].clients;
-            clients.ending.set(clients.at.take());
-            self.wait_for_end(i, signalled + KILL_AFTER_S, Daemon::has_exited, Daemon::kill).await;
-            clients.ending.set(None);
-            self.comes_back(i, restart).await;
+            sleep(signalled_at + NEW_CONNECTIONS_AFTER_SIGTERM_S - self.runtime.now()).await;
+            let clients = &self.nodes[index].clients;
+            clients.draining_address.set(clients.daemon_address.take());
+            self.wait_for_exit(index, signalled_at + SIGKILL_AFTER_S, Daemon::has_exited, Daemon::kill).await;
+            clients.draining_address.set(None);
+            self.restart_daemon(index, restart).await;
         }
-        self.end_change(i);
+        self.end_process_change(index);
     }
 
-    /// Looks until a process has ended. At a time it is killed.
-    async fn wait_for_end(
-        &self, i: usize, kill_at: f64, has_ended: fn(&mut Daemon) -> bool, kill: fn(&mut Daemon),
+    /// Waits until a process has exited, and kills it at `sigkill_at`.
+    async fn wait_for_exit(
+        &self, index: usize, sigkill_at: f64, has_exited: fn(&mut Daemon) -> bool, kill: fn(&mut Daemon),
     ) {
         loop {
-            sleep(LOOK_S).await;
-            let mut daemon = self.nodes[i].daemon.borrow_mut();
+            sleep(POLL_INTERVAL_S).await;
+            let mut daemon = self.nodes[index].daemon.borrow_mut();
             let Some(daemon) = daemon.as_mut() else { continue };
-            if has_ended(daemon) {
+            if has_exited(daemon) {
                 return;
             }
-            if self.world.now() > kill_at {
+            if self.runtime.now() > sigkill_at {
                 return kill(daemon);
             }
         }
     }
 
-    /// A second process beside the first, over the same folder and at the same address.
-    pub(super) async fn upgrade(&self, i: usize, ends: UpgradeEnds) {
-        let up = self.nodes[i].clients.at.get().is_some();
-        if !up || !self.begin_change(i) {
+    /// Upgrades a daemon: a second process is started on the same state directory and at the same address.
+    pub(super) async fn upgrade(&self, index: usize, scenario: UpgradeScenario) {
+        let is_running = self.nodes[index].clients.daemon_address.get().is_some();
+        if !is_running || !self.begin_process_change(index) {
             return;
         }
-        let taken = self.nodes[i].daemon.borrow_mut().take();
+        let taken = self.nodes[index].daemon.borrow_mut().take();
         if let Some(daemon) = taken {
-            self.ledger.met("daemon_upgraded");
-            self.start_beside(i, daemon, ends).await;
+            self.log.record_fault_hit("daemon_upgraded");
+            self.start_second_process(index, daemon, scenario).await;
         }
-        self.end_change(i);
+        self.end_process_change(index);
     }
 
-    async fn start_beside(&self, i: usize, mut daemon: Daemon, ends: UpgradeEnds) {
-        let from = self.world.now();
-        let number = self.ledger.with(|seen| {
-            seen.upgrades.push(Upgrade { daemon: i, from, ready: None, killed: None });
-            seen.upgrades.len() - 1
+    async fn start_second_process(&self, index: usize, mut daemon: Daemon, scenario: UpgradeScenario) {
+        let started_at = self.runtime.now();
+        let upgrade_index = self.log.with(|observations| {
+            observations.upgrades.push(Upgrade {
+                daemon: index,
+                started_at,
+                ready_at: None,
+                killed_at: None,
+            });
+            observations.upgrades.len() - 1
         });
-        if let Some(known) = self.discovery.known_to(i) {
-            daemon.set_cached_list(known);
+        if let Some(last_list) = self.discovery.last_list_sent_to(index) {
+            daemon.set_cached_list(last_list);
         }
         let started = daemon.start_sibling().await;
-        let operators = daemon.operator_address(ProcessChoice::Newest);
-        self.nodes[i].daemon.replace(Some(daemon));
+        let operator_address = daemon.operator_address(ProcessChoice::Newest);
+        self.nodes[index].daemon.replace(Some(daemon));
         if let Err(e) = started {
-            self.crashes.borrow_mut().push(format!("n{i} does not start beside itself: {e}"));
+            self.crashes.borrow_mut().push(format!("n{index} does not start beside itself: {e}"));
             return;
         }
-        if ends == UpgradeEnds::NewKilled {
-            self.with(i, Daemon::kill_newest);
-            self.killed(number);
+        if scenario == UpgradeScenario::NewKilled {
+            self.with_running(index, Daemon::kill_newest);
+            self.record_kill(upgrade_index);
             return;
         }
-        while operators.is_none() || !says_ready(operators).await {
-            sleep(LOOK_S).await;
-            if self.world.now() > from + READY_WITHIN_S {
-                self.crashes.borrow_mut().push(format!("n{i}: its second process is not ready in time"));
+        while operator_address.is_none() || !reports_ready(operator_address).await {
+            sleep(POLL_INTERVAL_S).await;
+            if self.runtime.now() > started_at + SECOND_PROCESS_READY_WITHIN_S {
+                self.crashes.borrow_mut().push(format!("n{index}: its second process is not ready in time"));
                 break;
             }
         }
-        let ready = self.world.now();
-        self.ledger.with(|seen| seen.upgrades[number].ready = Some(ready));
-        if ends == UpgradeEnds::OldKilled {
-            self.killed(number);
-            self.with(i, Daemon::kill_previous);
+        let ready_at = self.runtime.now();
+        self.log.with(|observations| observations.upgrades[upgrade_index].ready_at = Some(ready_at));
+        if scenario == UpgradeScenario::OldKilled {
+            self.record_kill(upgrade_index);
+            self.with_running(index, Daemon::kill_previous);
             return;
         }
-        if self.with(i, Daemon::previous_has_exited) == Some(true) {
-            self.crashes.borrow_mut().push(format!("n{i}: its old process ended before it was told to"));
+        if self.with_running(index, Daemon::previous_has_exited) == Some(true) {
+            self.crashes.borrow_mut().push(format!("n{index}: its old process ended before it was told to"));
         }
-        self.with(i, |d| d.terminate_previous());
-        self.wait_for_end(i, ready + KILL_AFTER_S, Daemon::previous_has_exited, Daemon::kill_previous).await;
+        self.with_running(index, |d| d.terminate_previous());
+        self.wait_for_exit(
+            index,
+            ready_at + SIGKILL_AFTER_S,
+            Daemon::previous_has_exited,
+            Daemon::kill_previous,
+        )
+        .await;
     }
 
-    fn killed(&self, upgrade: usize) {
-        let now = self.world.now();
-        self.ledger.with(|seen| seen.upgrades[upgrade].killed = Some(now));
+    fn record_kill(&self, upgrade: usize) {
+        let now = self.runtime.now();
+        self.log.with(|observations| observations.upgrades[upgrade].killed_at = Some(now));
     }
 
-    pub(super) async fn hang_up(&self, i: usize, count: u32) {
+    pub(super) async fn send_sighups(&self, index: usize, count: u32) {
         for _ in 0..count {
-            if self.with(i, |d| d.send_sighup()).is_none() {
+            if self.with_running(index, |d| d.send_sighup()).is_none() {
                 return;
             }
-            self.ledger.met("signals_in_series");
-            sleep(SIGNAL_EVERY_S).await;
+            self.log.record_fault_hit("signals_in_series");
+            sleep(SIGNAL_INTERVAL_S).await;
         }
     }
 }
 
-async fn says_ready(operators: Option<std::net::SocketAddr>) -> bool {
-    let Some(at) = operators else { return false };
+async fn reports_ready(operator_address: Option<std::net::SocketAddr>) -> bool {
+    let Some(at) = operator_address else { return false };
     send_operator_command(at, "status").await.is_some_and(|answer| answer.starts_with("200"))
 }
--- a/lab/src/soak/run.rs
+++ b/lab/src/soak/run.rs
@@ -1,12 +1,12 @@
-//! One run: starts all, carries the faults out, and collects what was seen.
+//! One run: starts daemons and stand-ins, carries out the faults, and collects what was observed.
 
 use super::clients::Clients;
-use super::discovery::{Address, Discovery};
-use super::faults::{Extent, Fault, Planned, draw};
-use super::judge::{Terms, Verdict, judge};
-use super::ledger::{Ledger, Restart};
+use super::discovery::{Discovery, DiscoveryAddress};
+use super::faults::{Fault, PlannedFault, RunSize, generate_faults};
+use super::judge::{JudgeParameters, Verdict, judge};
+use super::observations::{ClientResult, Message, ObservationLog, Restart};
 use super::server::Server;
-use super::settings::{WINDOW_S, settings};
+use super::settings::{DEDUP_WINDOW_S, settings};
 use crate::daemon::{Daemon, Preload};
 use crate::experiments::ExperimentContext;
 use crate::http::send_request;
@@ -22,259 +22,286 @@
 pub struct Soak {
     pub daemons: usize,
     pub destinations: u64,
+    /// Servers of each destination.
     pub servers_each: usize,
-    /// Messages a second at each daemon.
+    /// Messages a second that the clients of each daemon submit.
     pub rate: f64,
+    /// Length of the load; the faults are begun in this time.
     pub seconds: f64,
     pub seed: u64,
 }
 
-/// What a run ended in.
+/// The result of a run.
 pub struct Outcome {
     pub verdict: Verdict,
-    /// Violations that the daemons counted themselves, by rule, and lines of their logs that tell of one.
+    /// Violations that the daemons counted themselves, by rule.
     pub counted: BTreeMap<String, u64>,
+    /// Lines of the daemons' logs that report a violation or a panic.
     pub logged: Vec<String>,
     pub crashes: Vec<String>,
+    /// Incomplete requests that were neither answered nor closed in time.
     pub bad_unanswered: u64,
     pub figures: Value,
-    /// Kinds of faults that were begun or had to be met, and were not.
+    /// Kinds of planned faults that had no effect, or were not carried out at all.
     pub not_met: Vec<&'static str>,
 }
 
-/// The longest time of a message, and what its end may take beyond it.
-const SETTLE_S: f64 = 6.5;
-/// The front deals out new connections for so long after SIGTERM.
-pub(super) const FRONT_S: f64 = 0.3;
-pub(super) const KILL_AFTER_S: f64 = 3.7;
-const START_AFTER_S: f64 = 0.6;
-pub(super) const LOOK_S: f64 = 0.02;
+/// Time from the end of the submissions to the judgement: the longest deadline of a message, and the time
+/// that its outcome may take beyond the deadline.
+const OUTCOME_WAIT_S: f64 = 6.5;
+/// The front proxy sends new connections to a daemon for this long after the daemon received SIGTERM.
+pub(super) const NEW_CONNECTIONS_AFTER_SIGTERM_S: f64 = 0.3;
+/// A process that has not exited this long after SIGTERM gets SIGKILL.
+pub(super) const SIGKILL_AFTER_S: f64 = 3.7;
+/// Time between the exit of a process and the start of the next one.
+const RESTART_DELAY_S: f64 = 0.6;
+/// Interval at which the run checks for an awaited state.
+pub(super) const POLL_INTERVAL_S: f64 = 0.02;
 
-/// One daemon, its clients, and where it finds discovery. The daemon is taken out while it is being started.
+/// One daemon, its clients, and the address at which it finds discovery. `daemon` is none while the daemon is
+/// being started.
 pub(super) struct Node {
     pub(super) daemon: RefCell<Option<Daemon>>,
     pub(super) clients: Rc<Clients>,
-    pub(super) address: RefCell<Address>,
-    /// It is being ended, started or upgraded: nothing else ends or starts it meanwhile.
-    pub(super) changing: Cell<bool>,
-    /// A class is being added there, used and dropped.
-    pub(super) settings_change: Cell<bool>,
-    /// Servers that an operator has taken out there.
-    pub(super) out: RefCell<BTreeSet<String>>,
+    pub(super) discovery_address: RefCell<DiscoveryAddress>,
+    /// The daemon is being stopped, started or upgraded: nothing else stops or starts it in the meantime.
+    pub(super) process_change_active: Cell<bool>,
+    /// A class is being added to the daemon's settings, used and removed again.
+    pub(super) settings_change_active: Cell<bool>,
+    /// Servers that an operator has put into maintenance at this daemon.
+    pub(super) in_maintenance: RefCell<BTreeSet<String>>,
 }
 
 pub(super) struct Run {
-    pub(super) world: Runtime,
-    pub(super) ledger: Ledger,
+    pub(super) runtime: Runtime,
+    pub(super) log: ObservationLog,
     pub(super) nodes: Vec<Rc<Node>>,
     pub(super) servers: RefCell<Vec<Rc<Server>>>,
     pub(super) discovery: Rc<Discovery>,
     pub(super) crashes: RefCell<Vec<String>>,
-    pub(super) replaced: Cell<u64>,
+    pub(super) replacement_count: Cell<u64>,
 }
 
-/// Plays one run with real daemons.
+/// Carries out one run with real daemons.
 pub async fn play(setup: &ExperimentContext, soak: Soak) -> Result<Outcome, String> {
     let run = Rc::new(Run::start(setup, &soak).await?);
     let lateness = Rc::new(Cell::new(0.0f64));
-    run.world.spawn(monitor_lateness(run.world.clone(), lateness.clone()));
+    run.runtime.spawn(monitor_lateness(run.runtime.clone(), lateness.clone()));
     let servers = run.servers.borrow().len();
-    let plan = draw(Extent { daemons: soak.daemons, servers, seconds: soak.seconds }, soak.seed);
-    let begin = run.world.now();
+    let plan =
+        generate_faults(RunSize { daemons: soak.daemons, servers, duration_s: soak.seconds }, soak.seed);
+    let load_started_at = run.runtime.now();
     for planned in &plan {
-        sleep(begin + planned.at - run.world.now()).await;
-        run.ledger.with(|seen| *seen.begun.entry(planned.fault.name()).or_default() += 1);
+        sleep(load_started_at + planned.start_s - run.runtime.now()).await;
+        run.log.with(|observations| *observations.faults_begun.entry(planned.fault.name()).or_default() += 1);
         let (this, planned) = (run.clone(), *planned);
-        run.world.spawn(async move { this.carry_out(planned).await });
+        run.runtime.spawn(async move { this.apply_fault(planned).await });
     }
-    sleep(begin + soak.seconds - run.world.now()).await;
-    run.nodes.iter().for_each(|n| n.clients.over.set(true));
-    sleep(SETTLE_S).await;
-    run.end(&plan, lateness.get()).await
+    sleep(load_started_at + soak.seconds - run.runtime.now()).await;
+    run.nodes.iter().for_each(|node| node.clients.stopped.set(true));
+    sleep(OUTCOME_WAIT_S).await;
+    run.finish(&plan, lateness.get()).await
 }
 
 impl Run {
     async fn start(setup: &ExperimentContext, soak: &Soak) -> Result<Run, String> {
-        let (world, ledger) = (setup.runtime.clone(), Ledger::default());
+        let (runtime, log) = (setup.runtime.clone(), ObservationLog::default());
         let mut servers = Vec::new();
         for destination in 1..=soak.destinations {
-            for i in 0..soak.servers_each {
-                servers.push(Server::start(&world, &ledger, &format!("s{destination}-{i}"), destination)?);
+            for index in 0..soak.servers_each {
+                servers.push(Server::start(&runtime, &log, &format!("s{destination}-{index}"), destination)?);
             }
         }
-        let discovery = Discovery::new(&world, &ledger, &servers, soak.seed);
+        let discovery = Discovery::new(&runtime, &log, &servers, soak.seed);
         let mut nodes = Vec::new();
-        for i in 0..soak.daemons {
-            let address = discovery.open(i)?;
-            let (name, known) = (format!("n{i}"), discovery.list(None));
+        for index in 0..soak.daemons {
+            let address = discovery.open(index)?;
+            let (name, last_list) = (format!("n{index}"), discovery.list(None));
             let mut daemon = Daemon::new(
                 &name,
                 &setup.daemon_program,
                 &setup.output_dir,
-                address.at,
-                known,
+                address.address,
+                last_list,
                 String::new(),
                 soak.daemons,
             )?;
-            daemon.settings = settings(soak.daemons, i);
+            daemon.settings = settings(soak.daemons, index);
             daemon.operators_enabled = true;
             daemon.preload = Some(Preload::with_plan(setup.output_dir.join(&name).join("faults"))?);
-            let seed = soak.seed.wrapping_mul(1000).wrapping_add(i as u64);
-            let clients = Clients::start(&world, &ledger, i, soak.destinations, soak.rate, seed);
-            let (daemon, address) = (RefCell::new(Some(daemon)), RefCell::new(address));
+            let seed = soak.seed.wrapping_mul(1000).wrapping_add(index as u64);
+            let clients = Clients::start(&runtime, &log, index, soak.destinations, soak.rate, seed);
+            let (daemon, discovery_address) = (RefCell::new(Some(daemon)), RefCell::new(address));
             nodes.push(Rc::new(Node {
                 daemon,
                 clients,
-                address,
-                changing: Cell::new(false),
-                settings_change: Cell::new(false),
-                out: RefCell::default(),
+                discovery_address,
+                process_change_active: Cell::new(false),
+                settings_change_active: Cell::new(false),
+                in_maintenance: RefCell::default(),
             }));
         }
-        let (servers, crashes, replaced) = (RefCell::new(servers), RefCell::default(), Cell::new(0));
-        let run = Run { world, ledger, nodes, servers, discovery, crashes, replaced };
-        for i in 0..soak.daemons {
-            run.up(i).await?;
+        let (servers, crashes, replacement_count) = (RefCell::new(servers), RefCell::default(), Cell::new(0));
+        let run = Run { runtime, log, nodes, servers, discovery, crashes, replacement_count };
+        for index in 0..soak.daemons {
+            run.start_daemon(index).await?;
         }
         Ok(run)
     }
 
     /// Starts a daemon and waits until it is ready.
-    async fn up(&self, i: usize) -> Result<(), String> {
-        let node = &self.nodes[i];
+    async fn start_daemon(&self, index: usize) -> Result<(), String> {
+        let node = &self.nodes[index];
         let mut daemon = node.daemon.borrow_mut().take().ok_or("it is being started already")?;
-        if let Some(known) = self.discovery.known_to(i) {
-            daemon.set_cached_list(known);
+        if let Some(last_list) = self.discovery.last_list_sent_to(index) {
+            daemon.set_cached_list(last_list);
         }
         let started = daemon.start().await;
-        let http = daemon.client_address;
+        let client_address = daemon.client_address;
         node.daemon.replace(Some(daemon));
         started?;
-        let at = http.ok_or("it does not listen")?;
+        let at = client_address.ok_or("it does not listen")?;
         let request = "GET /ready HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n";
         while send_request(at, request, Duration::from_millis(500)).await.map(|a| a.0) != Some(200) {
-            sleep(LOOK_S).await;
+            sleep(POLL_INTERVAL_S).await;
         }
-        node.clients.at.set(http);
+        node.clients.daemon_address.set(client_address);
         Ok(())
     }
 
-    async fn carry_out(self: Rc<Self>, planned: Planned) {
+    /// Carries out one fault, and records a hit if the fault could be applied.
+    async fn apply_fault(self: Rc<Self>, planned: PlannedFault) {
         match planned.fault {
             Fault::Kill { daemon } => self.kill(daemon).await,
             Fault::Terminate { daemon, signals } => self.terminate(daemon, signals).await,
-            Fault::Upgrade { daemon, ends } => self.upgrade(daemon, ends).await,
-            Fault::HangUps { daemon, count } => self.hang_up(daemon, count).await,
-            Fault::Maintenance { daemon, server } => self.maintenance(daemon, server, planned.lasts).await,
-            Fault::Settings { daemon } => self.change_settings(daemon, planned.lasts).await,
-            Fault::Crowd { daemon, clients } => {
-                if let Some(at) = self.nodes[daemon].clients.at.get() {
-                    self.ledger.met("crowd");
-                    self.nodes[daemon].clients.crowd(at, clients, planned.lasts).await;
+            Fault::Upgrade { daemon, scenario } => self.upgrade(daemon, scenario).await,
+            Fault::HangupSignals { daemon, count } => self.send_sighups(daemon, count).await,
+            Fault::Maintenance { daemon, server } => {
+                self.maintenance(daemon, server, planned.duration_s).await
+            }
+            Fault::SettingsChange { daemon } => self.change_settings(daemon, planned.duration_s).await,
+            Fault::ConnectionFlood { daemon, connections } => {
+                if let Some(at) = self.nodes[daemon].clients.daemon_address.get() {
+                    self.log.record_fault_hit("crowd");
+                    self.nodes[daemon].clients.flood(at, connections, planned.duration_s).await;
                 }
             }
-            Fault::Stall { daemon } => self.stall(daemon, planned.lasts).await,
-            Fault::Reloads { daemon, count } => self.reload(daemon, count).await,
-            Fault::BrokenReload { daemon } => {
-                let done = self.with(daemon, |d| d.reload_invalid_config().is_ok());
+            Fault::Stall { daemon } => self.stall(daemon, planned.duration_s).await,
+            Fault::DiscoveryMoves { daemon, count } => self.move_discovery(daemon, count).await,
+            Fault::InvalidReload { daemon } => {
+                let done = self.with_running(daemon, |d| d.reload_invalid_config().is_ok());
                 if done == Some(true) {
-                    self.ledger.met("broken_reload");
+                    self.log.record_fault_hit("broken_reload");
                 }
             }
-            Fault::NoDescriptors { daemon } => self.no_descriptors(daemon, planned.lasts).await,
-            Fault::Disk { daemon, fault } => self.trouble_disk(daemon, fault, planned.lasts).await,
-            Fault::ClockStep { daemon, seconds } => {
-                self.step_clock(daemon, seconds);
+            Fault::DescriptorExhaustion { daemon } => {
+                self.exhaust_descriptors(daemon, planned.duration_s).await
+            }
+            Fault::DiskFailure { daemon, failure } => {
+                self.fail_disk(daemon, failure, planned.duration_s).await
+            }
+            Fault::ClockStep { daemon, offset_s } => {
+                self.step_clock(daemon, offset_s);
                 self.kill(daemon).await;
             }
-            Fault::Discovery { mode } => self.trouble_discovery(mode, planned.lasts).await,
-            Fault::Server { server, mode } => self.trouble_server(server, mode, planned.lasts).await,
-            Fault::Replace { server } => self.replace(server).await,
+            Fault::Discovery { mode } => self.impair_discovery(mode, planned.duration_s).await,
+            Fault::Server { server, mode } => self.impair_server(server, mode, planned.duration_s).await,
+            Fault::ReplaceServer { server } => self.replace(server).await,
         }
     }
 
-    /// Nothing more is handed in.
-    pub(super) fn is_over(&self) -> bool {
-        self.nodes.iter().all(|node| node.clients.over.get())
+    /// Whether the clients have stopped submitting messages.
+    pub(super) fn submissions_stopped(&self) -> bool {
+        self.nodes.iter().all(|node| node.clients.stopped.get())
     }
 
-    /// Does something with a daemon that is up.
-    pub(super) fn with<T>(&self, i: usize, what: impl FnOnce(&mut Daemon) -> T) -> Option<T> {
-        let up = self.nodes[i].clients.at.get().is_some();
-        self.nodes[i].daemon.borrow_mut().as_mut().filter(|_| up).map(what)
+    /// Calls a function with a daemon if that daemon is running.
+    pub(super) fn with_running<T>(&self, index: usize, call: impl FnOnce(&mut Daemon) -> T) -> Option<T> {
+        let is_running = self.nodes[index].clients.daemon_address.get().is_some();
+        self.nodes[index].daemon.borrow_mut().as_mut().filter(|_| is_running).map(call)
     }
 
-    /// A daemon that ended by itself is a crash.
-    pub(super) fn look(&self, i: usize) -> bool {
-        let crashed = self.with(i, Daemon::has_crashed).unwrap_or(false);
+    /// Records a crash if a daemon's process exited by itself. Returns false in that case.
+    pub(super) fn check_for_crash(&self, index: usize) -> bool {
+        let crashed = self.with_running(index, Daemon::has_crashed).unwrap_or(false);
         if crashed {
-            self.crashes.borrow_mut().push(format!("n{i} at {:.1} s", self.world.now()));
+            self.crashes.borrow_mut().push(format!("n{index} at {:.1} s", self.runtime.now()));
         }
         !crashed
     }
 
-    pub(super) fn goes_down(&self, i: usize) -> usize {
-        let signal = self.world.now();
-        self.ledger.with(|seen| {
-            seen.restarts.push(Restart { daemon: i, from: signal, down: None, ready: None });
-            seen.restarts.len() - 1
+    /// Records that a daemon is going down, and returns the index of the restart.
+    pub(super) fn record_restart(&self, index: usize) -> usize {
+        let signalled_at = self.runtime.now();
+        self.log.with(|observations| {
+            observations.restarts.push(Restart {
+                daemon: index,
+                signalled_at,
+                exited_at: None,
+                ready_at: None,
+            });
+            observations.restarts.len() - 1
         })
     }
 
-    pub(super) async fn comes_back(&self, i: usize, restart: usize) {
-        let down = self.world.now();
-        self.ledger.with(|seen| seen.restarts[restart].down = Some(down));
-        sleep(START_AFTER_S).await;
-        if let Err(e) = self.up(i).await {
-            self.crashes.borrow_mut().push(format!("n{i} does not start: {e}"));
+    /// Starts a daemon whose process has exited, and records when it is ready.
+    pub(super) async fn restart_daemon(&self, index: usize, restart: usize) {
+        let exited_at = self.runtime.now();
+        self.log.with(|observations| observations.restarts[restart].exited_at = Some(exited_at));
+        sleep(RESTART_DELAY_S).await;
+        if let Err(e) = self.start_daemon(index).await {
+            self.crashes.borrow_mut().push(format!("n{index} does not start: {e}"));
             return;
         }
-        let ready = self.world.now();
-        self.ledger.with(|seen| seen.restarts[restart].ready = Some(ready));
+        let ready_at = self.runtime.now();
+        self.log.with(|observations| observations.restarts[restart].ready_at = Some(ready_at));
     }
 
-    async fn end(&self, plan: &[Planned], lateness_s: f64) -> Result<Outcome, String> {
+    /// Collects the daemons' counters and log lines, and judges the run.
+    async fn finish(&self, plan: &[PlannedFault], lateness_s: f64) -> Result<Outcome, String> {
         let mut counted: BTreeMap<String, u64> = BTreeMap::new();
         let mut logged = Vec::new();
-        let mut list_unanswered_most_ms = 0;
-        for (i, node) in self.nodes.iter().enumerate() {
-            self.look(i);
-            // Taken out, for the question takes its time.
+        let mut longest_unanswered_list_call_ms = 0;
+        for (index, node) in self.nodes.iter().enumerate() {
+            self.check_for_crash(index);
+            // The daemon is taken out of its cell, because no borrow may be held across the request.
             let Some(daemon) = node.daemon.borrow_mut().take() else { continue };
             let counters = daemon.get_json("/counters").await.unwrap_or_default();
-            for (name, n) in counters.as_object().into_iter().flatten() {
+            for (name, count) in counters.as_object().into_iter().flatten() {
                 if name.starts_with("violations_") {
-                    *counted.entry(name.clone()).or_default() += n.as_u64().unwrap_or(0);
+                    *counted.entry(name.clone()).or_default() += count.as_u64().unwrap_or(0);
                 }
             }
             let unanswered = counters["list_unanswered_most_ms"].as_u64().unwrap_or(0);
-            list_unanswered_most_ms = list_unanswered_most_ms.max(unanswered);
+            longest_unanswered_list_call_ms = longest_unanswered_list_call_ms.max(unanswered);
             logged.extend(
-                daemon.log_lines_containing("violation:").into_iter().map(|line| format!("n{i}: {line}")),
+                daemon.log_lines_containing("violation:").into_iter().map(|line| format!("n{index}: {line}")),
             );
             logged.extend(
-                daemon.log_lines_containing("panicked").into_iter().map(|line| format!("n{i}: {line}")),
+                daemon.log_lines_containing("panicked").into_iter().map(|line| format!("n{index}: {line}")),
             );
             node.daemon.replace(Some(daemon));
         }
-        let terms = Terms { window_s: WINDOW_S, lateness_s };
-        let bad_unanswered = self.nodes.iter().map(|n| n.clients.bad_unanswered.get()).sum();
+        let parameters = JudgeParameters { dedup_window_s: DEDUP_WINDOW_S, lateness_s };
+        let bad_unanswered = self.nodes.iter().map(|node| node.clients.bad_unanswered.get()).sum();
         let planned: Vec<_> = plan.iter().map(|p| p.fault.name()).collect();
-        let outcome = self.ledger.with(|seen| {
-            let verdict = judge(seen, terms);
-            let mut not_met: Vec<_> = planned.iter().copied().filter(|f| !seen.met.contains_key(f)).collect();
+        let outcome = self.log.with(|observations| {
+            let verdict = judge(observations, parameters);
+            let mut not_met: Vec<_> =
+                planned.iter().copied().filter(|f| !observations.fault_hits.contains_key(f)).collect();
             not_met.sort_unstable();
             not_met.dedup();
-            let heard = |status: u16| {
-                let is = |m: &&super::ledger::Message| m.heard == Some(super::ledger::Heard::Status(status));
-                seen.messages.values().filter(is).count()
+            let message_count = |status: u16| {
+                let has_status = |m: &&Message| m.client_result == Some(ClientResult::Status(status));
+                observations.messages.values().filter(has_status).count()
             };
-            let delivered = seen.calls.iter().filter(|c| c.status == Some(200)).count();
+            let delivered = observations.calls.iter().filter(|c| c.status == Some(200)).count();
             let figures = json!({
-                "messages": seen.messages.len(), "taken_on": heard(202), "refused": heard(503),
-                "calls": seen.calls.len(), "delivered": delivered, "drains": seen.drained.len(),
-                "restarts": seen.restarts.len(), "faults_begun": seen.begun, "faults_met": seen.met,
-                "stand_ins_late_s": lateness_s, "list_unanswered_most_ms": list_unanswered_most_ms,
+                "messages": observations.messages.len(), "taken_on": message_count(202),
+                "refused": message_count(503), "calls": observations.calls.len(), "delivered": delivered,
+                "drains": observations.drains.len(), "restarts": observations.restarts.len(),
+                "faults_begun": observations.faults_begun, "faults_met": observations.fault_hits,
+                "stand_ins_late_s": lateness_s, "list_unanswered_most_ms": longest_unanswered_list_call_ms,
             });
             Outcome {
                 verdict,
--- a/lab/src/soak/server.rs
+++ b/lab/src/soak/server.rs
@@ -1,7 +1,7 @@
-//! A server: takes calls with messages, and fails in the ways that the protocol knows.
+//! A stand-in for a server: accepts calls with messages, and fails in the ways that the protocol defines.
 
-use super::ledger::{Call, Ledger, Wait, daemon_of};
-use crate::http::{Request, ServerConnection as Connection};
+use super::observations::{Call, ObservationLog, RetryAfter, daemon_of};
+use crate::http::{Request, ServerConnection};
 use crate::testbed::{Runtime, sleep};
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
@@ -11,53 +11,54 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How it treats what comes.
+/// How a server treats connections and calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mode {
-    Well,
-    /// It takes so many seconds more.
+    Healthy,
+    /// Calls take this number of seconds longer.
     Slow(f64),
-    /// 500, after it has run.
+    /// Calls take effect and are answered with 500.
     Failing,
-    /// It runs and is not answered.
+    /// Calls take effect and are not answered.
     Hanging,
-    /// 429, with this wait in seconds.
-    Full(f64),
-    /// 503.
-    Shut,
-    /// The connection is reset before the request was read to its end.
+    /// Calls are answered with 429 and this Retry-After in seconds.
+    RetryAfter(f64),
+    /// Calls are answered with 503.
+    Unavailable,
+    /// The connection is reset before the request was read completely.
     ResetBefore,
-    /// It runs, and the connection is reset in place of the answer.
+    /// Calls take effect, and the connection is reset instead of an answer.
     ResetAfter,
-    /// It runs, and noise comes in place of the answer.
-    Spoilt,
-    /// Connections are reset as they come.
-    Refusing,
-    /// Connections come up and nothing is read.
+    /// Calls take effect, and bytes that are not HTTP are sent instead of an answer.
+    InvalidResponse,
+    /// Connections are reset when they are accepted.
+    ResetOnAccept,
+    /// Connections are accepted, and nothing is read.
     Silent,
 }
 
 impl Mode {
+    /// The name of the fault in reports.
     pub fn name(self) -> &'static str {
         match self {
-            Mode::Well => "server_well",
+            Mode::Healthy => "server_well",
             Mode::Slow(_) => "server_slow",
             Mode::Failing => "server_failing",
             Mode::Hanging => "server_hanging",
-            Mode::Full(_) => "server_full",
-            Mode::Shut => "server_shut",
+            Mode::RetryAfter(_) => "server_full",
+            Mode::Unavailable => "server_shut",
             Mode::ResetBefore => "server_reset_before",
             Mode::ResetAfter => "server_reset_after",
-            Mode::Spoilt => "server_spoilt",
-            Mode::Refusing => "server_refusing",
+            Mode::InvalidResponse => "server_spoilt",
+            Mode::ResetOnAccept => "server_refusing",
             Mode::Silent => "server_silent",
         }
     }
 }
 
-/// How long a call takes.
+/// How long a call takes in a healthy server.
 const SERVICE_S: f64 = 0.02;
-/// A connection is closed once it has been idle for this.
+/// A connection is closed after this idle time.
 const IDLE_S: f64 = 5.0;
 
 pub struct Server {
@@ -65,46 +66,45 @@
     pub destination: u64,
     pub address: SocketAddr,
     pub mode: Cell<Mode>,
-    world: Runtime,
-    ledger: Ledger,
+    runtime: Runtime,
+    log: ObservationLog,
 }
 
 impl Server {
     pub fn start(
-        world: &Runtime, ledger: &Ledger, name: &str, destination: u64,
+        runtime: &Runtime, log: &ObservationLog, name: &str, destination: u64,
     ) -> Result<Rc<Server>, String> {
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).map_err(|e| e.to_string())?;
         let address = listener.get_ref().local_addr().map_err(|e| e.to_string())?;
-        let (name, mode) = (name.to_owned(), Cell::new(Mode::Well));
-        let server =
-            Server { name, destination, address, mode, world: world.clone(), ledger: ledger.clone() };
+        let (name, mode) = (name.to_owned(), Cell::new(Mode::Healthy));
+        let server = Server { name, destination, address, mode, runtime: runtime.clone(), log: log.clone() };
         let server = Rc::new(server);
         let this = server.clone();
-        world.spawn(async move {
+        runtime.spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                if this.mode.get() == Mode::Refusing {
-                    this.ledger.met(Mode::Refusing.name());
+                if this.mode.get() == Mode::ResetOnAccept {
+                    this.log.record_fault_hit(Mode::ResetOnAccept.name());
                     reset(&stream);
                     continue;
                 }
-                this.world.spawn(this.clone().serve(Connection::new(stream)));
+                this.runtime.spawn(this.clone().serve(ServerConnection::new(stream)));
             }
         });
         Ok(server)
     }
 
-    async fn serve(self: Rc<Server>, mut connection: Connection) {
+    async fn serve(self: Rc<Server>, mut connection: ServerConnection) {
         loop {
             match self.mode.get() {
                 Mode::Silent => {
-                    self.ledger.met(Mode::Silent.name());
+                    self.log.record_fault_hit(Mode::Silent.name());
                     sleep(IDLE_S).await;
                     return;
                 }
                 Mode::ResetBefore => {
-                    // Some of the request is read, and the rest never.
+                    // Part of the request is read, and the rest is not.
                     let _ = connection.stream.read(&mut [0; 16]).await;
-                    self.ledger.met(Mode::ResetBefore.name());
+                    self.log.record_fault_hit(Mode::ResetBefore.name());
                     return reset(&connection.stream);
                 }
                 _ => {}
@@ -118,71 +118,74 @@
             if request.method != "POST" {
                 return;
             }
-            if !self.call(&mut connection, &request).await {
+            if !self.handle_call(&mut connection, &request).await {
                 return;
             }
         }
     }
 
-    /// One call. Whether the connection lasts.
-    async fn call(&self, connection: &mut Connection, request: &Request) -> bool {
+    /// Handles one call. Returns whether the connection stays open.
+    async fn handle_call(&self, connection: &mut ServerConnection, request: &Request) -> bool {
         let mode = self.mode.get();
-        self.ledger.met(mode.name());
-        let turned_away = matches!(mode, Mode::Full(_) | Mode::Shut);
-        let began = self.world.now() - request.first_byte_at.elapsed().as_secs_f64();
+        self.log.record_fault_hit(mode.name());
+        let rejected = matches!(mode, Mode::RetryAfter(_) | Mode::Unavailable);
+        let started_at = self.runtime.now() - request.first_byte_at.elapsed().as_secs_f64();
         let daemon = daemon_of(&request.id).unwrap_or(usize::MAX);
         let name = self.name.clone();
         let call = Call {
             id: request.id.clone(),
             server: name.clone(),
             daemon,
-            began,
-            over: None,
-            ran: !turned_away,
+            started_at,
+            ended_at: None,
+            took_effect: !rejected,
             status: None,
         };
-        let number = self.ledger.with(|seen| {
-            seen.calls.push(call);
-            seen.calls.len() - 1
+        let call_index = self.log.with(|observations| {
+            observations.calls.push(call);
+            observations.calls.len() - 1
         });
-        let (status, lasts) = self.answer(connection, mode, (&name, daemon)).await;
-        let now = self.world.now();
-        self.ledger.with(|seen| {
-            let call = &mut seen.calls[number];
-            (call.over, call.status) = (Some(now), status);
+        let (status, keep_open) = self.answer_call(connection, mode, (&name, daemon)).await;
+        let now = self.runtime.now();
+        self.log.with(|observations| {
+            let call = &mut observations.calls[call_index];
+            (call.ended_at, call.status) = (Some(now), status);
         });
-        lasts
+        keep_open
     }
 
-    async fn answer(
-        &self, connection: &mut Connection, mode: Mode, (name, daemon): (&str, usize),
+    /// Answers a call. Returns the status that was written, if there is one, and whether the connection stays
+    /// open.
+    async fn answer_call(
+        &self, connection: &mut ServerConnection, mode: Mode, (name, daemon): (&str, usize),
     ) -> (Option<u16>, bool) {
-        let service = SERVICE_S + if let Mode::Slow(more) = mode { more } else { 0.0 };
-        let works = async {
-            sleep(service).await;
+        let service_s = SERVICE_S + if let Mode::Slow(extra_s) = mode { extra_s } else { 0.0 };
+        let processing = async {
+            sleep(service_s).await;
             false
         };
-        // Whoever gives a call up closes its connection.
-        let given_up = future::or(works, async {
+        // A daemon cancels a call by closing its connection.
+        let canceled = future::or(processing, async {
             connection.wait_for_close().await;
             true
         });
-        if given_up.await {
+        if canceled.await {
             return (None, false);
         }
         let status = match mode {
-            Mode::Well | Mode::Slow(_) => 200,
+            Mode::Healthy | Mode::Slow(_) => 200,
             Mode::Failing => 500,
-            Mode::Shut => 503,
-            Mode::Full(wait) => {
-                let headers = format!("Retry-After: {wait:.3}\r\n");
-                let told = self.world.now();
-                let (server, destination, until) = (name.to_owned(), self.destination, told + wait);
-                let wait = Wait { server, destination, daemon, told, until };
-                self.ledger.with(|seen| seen.waits.push(wait));
+            Mode::Unavailable => 503,
+            Mode::RetryAfter(retry_after_s) => {
+                let headers = format!("Retry-After: {retry_after_s:.3}\r\n");
+                let sent_at = self.runtime.now();
+                let (server, destination, until) =
+                    (name.to_owned(), self.destination, sent_at + retry_after_s);
+                let retry_after = RetryAfter { server, destination, daemon, sent_at, until };
+                self.log.with(|observations| observations.retry_afters.push(retry_after));
                 return (Some(429), connection.respond(429, &headers, "").await.is_ok());
             }
-            Mode::Spoilt => {
+            Mode::InvalidResponse => {
                 let _ = connection.stream.write_all(b"\x00\x01 this is no answer\r\n\r\n").await;
                 connection.wait_for_close().await;
                 return (None, false);
@@ -191,7 +194,7 @@
                 connection.wait_for_close().await;
                 return (None, false);
             }
-            Mode::ResetAfter | Mode::ResetBefore | Mode::Refusing => {
+            Mode::ResetAfter | Mode::ResetBefore | Mode::ResetOnAccept => {
                 reset(&connection.stream);
                 return (None, false);
             }
@@ -200,7 +203,7 @@
     }
 }
 
-/// The connection ends with a reset once it is dropped.
+/// Makes the connection end with a reset when it is dropped.
 pub fn reset(stream: &Async<std::net::TcpStream>) {
     let _ = set_socket_linger(stream.get_ref(), Some(Duration::ZERO));
 }
--- a/lab/src/soak/settings.rs
+++ b/lab/src/soak/settings.rs
@@ -3,15 +3,16 @@
 use super::clients::ADDED_CLASS;
 use serde_json::{Value, json};
 
-/// A repeat of a keyed message is dropped for so long.
-pub const WINDOW_S: f64 = 1.0;
+/// Time within which a repeat of a keyed message is dropped by the server.
+pub const DEDUP_WINDOW_S: f64 = 1.0;
 
+/// The settings of one class.
 fn class(name: &str, effect: &str, give_up_s: f64) -> Value {
     json!({"name": name, "effect": effect, "group": "all", "giveUpUs": (give_up_s * 1e6) as u64,
-        "targetUs": 800_000, "windowUs": (WINDOW_S * 1e6) as u64, "lateShare": 0.1, "worth": 1.0})
+        "targetUs": 800_000, "windowUs": (DEDUP_WINDOW_S * 1e6) as u64, "lateShare": 0.1, "worth": 1.0})
 }
 
-/// The same settings, with the class that may be added or without it.
+/// Adds the class that the run may add to the settings, or removes it.
 pub fn with_added_class(mut settings: Value, added: bool) -> Value {
     let (name, left) = ADDED_CLASS;
     if let Some(classes) = settings["classes"].as_array_mut() {
@@ -23,7 +24,7 @@
     settings
 }
 
-/// The settings object of an instance: a class of each effect, and one kind of destination.
+/// The settings of one daemon: a class of each effect, and one kind of destination.
 pub fn settings(daemons: usize, number: usize) -> Value {
     json!({
         "azs": ["floor-2"],
