--- a/lab/src/scale/cluster.rs
+++ b/lab/src/scale/cluster.rs
@@ -1,15 +1,16 @@
-//! A cluster of hollow forwarders: its shards in lockstep, the links between them, and discovery.
+//! A cluster of hollow forwarders: its shards, which run in lockstep, the links between the forwarders, and
+//! discovery.
 
-use super::discovery::{Answer, Call, Discovery, FIRST_GENERATION, first_lines, text};
-use super::forwarder::{Input, Sent, Setup};
-use super::in_force::InForce;
+use super::change_times::ChangeTimes;
+use super::discovery::{Answer, CallId, Discovery, FIRST_GENERATION, initial_entries, list_json};
+use super::forwarder::{ClusterSettings, Input, Outbound};
 use super::links::{Links, Node, WITHIN_ZONE};
 use super::meter::Reading;
 use super::placement::{Region, Zone, zone_of};
-use super::shard::{Arrival, Command, Departure, Handle, Reply};
+use super::shard::{Arrival, Command, Departure, Reply, ShardHandle};
 use onyxrock::core::NameIndex;
 use onyxrock::interface::Micros;
-use onyxrock_config::duties::{DutySettings, NamedMember as Named, ProbeSettings};
+use onyxrock_config::duties::{DutySettings, NamedMember, ProbeSettings};
 use onyxrock_config::list::{self, EndpointList};
 use onyxrock_duties::Member;
 use onyxrock_membership::{Key, Keys};
@@ -18,66 +19,67 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Where the virtual clock begins.
-const EPOCH: Micros = Micros(1_000_000_000);
+/// Time of the virtual clock at the start of a cluster.
+const CLOCK_START: Micros = Micros(1_000_000_000);
 
-/// How a cluster is made.
+/// Parameters of a cluster.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Forwarders.
+    /// Number of forwarders.
     pub members: u16,
-    /// Members that vote.
+    /// Number of members that are voters for leases.
     pub voters: usize,
-    /// How long a lease holds.
+    /// Duration of a lease.
     pub lease: Micros,
-    /// Endpoints on the list that all start with.
+    /// Number of endpoints on the list that all forwarders start with.
     pub listed: u64,
-    /// Of all chance.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Threads that run forwarders.
+    /// Number of threads that run forwarders.
     pub threads: usize,
 }
 
-/// A call or its end on its way to discovery.
+/// A request to discovery, or the close of a call, in transit.
 #[derive(Clone, Copy, Debug)]
-enum ToDiscovery {
-    Ask(super::discovery::Ask),
+enum DiscoveryInput {
+    Request(super::discovery::ListRequest),
     Close,
 }
 
-/// Hollow forwarders, and what is between them.
+/// Hollow forwarders, and the network and the discovery stand-in that connect them.
 #[derive(Debug)]
 pub struct Cluster {
     plan: Plan,
-    shards: Vec<Handle>,
-    /// What has been sent and is not with its shard yet, by shard.
+    shards: Vec<ShardHandle>,
+    /// Inputs that were sent and not yet handed to the shard of their receiver, by shard.
     arrivals: Vec<Vec<Arrival>>,
-    /// When the next thing happens in each shard.
-    next: Vec<Micros>,
+    /// Time of the next event in each shard.
+    next_event_at: Vec<Micros>,
     now: Micros,
     running: BTreeSet<Member>,
-    /// The network.
+    /// The network between the forwarders and discovery.
     pub links: Links,
     discovery: Discovery,
-    questions: BTreeMap<(Micros, Call, u64), ToDiscovery>,
-    answers: u64,
-    in_force: InForce,
+    /// Requests in transit to discovery, by arrival time, call and number of the departure.
+    discovery_inputs: BTreeMap<(Micros, CallId, u64), DiscoveryInput>,
+    answer_count: u64,
+    change_times: ChangeTimes,
     rng: StdRng,
 }
 
-fn duties(plan: &Plan) -> Result<DutySettings, String> {
-    let nowhere = ([127, 0, 0, 1], 9).into();
-    let named = |index| Named { name: format!("n{}", index + 1), address: nowhere };
+fn duty_settings(plan: &Plan) -> Result<DutySettings, String> {
+    let unused_address = ([127, 0, 0, 1], 9).into();
+    let named_member = |index| NamedMember { name: format!("n{}", index + 1), address: unused_address };
     let keys = Keys::new(1, [Key { id: 1, secret: [0x5a; 32] }]).map_err(|e| format!("{e:?}"))?;
-    let patience = Micros((plan.lease.0 * 2 / 5).min(1_000_000));
+    let probe_timeout = Micros((plan.lease.0 * 2 / 5).min(1_000_000));
     Ok(DutySettings {
-        listen: nowhere,
-        members: (0..plan.members).map(named).collect(),
+        listen: unused_address,
+        members: (0..plan.members).map(named_member).collect(),
         voter_count: plan.voters,
         lease_duration: plan.lease,
         probe: ProbeSettings {
             per_s: 1.0,
-            timeout: patience,
+            timeout: probe_timeout,
             path: "/health".to_owned(),
             without_leases: false,
         },
@@ -87,52 +89,56 @@
     })
 }
 
-/// The list that all start with.
-fn known(listed: u64) -> Result<EndpointList, String> {
-    list::parse(&text(FIRST_GENERATION, true, first_lines(0, listed)), &NameIndex::default())
+/// The list that all forwarders start with.
+fn initial_list(listed: u64) -> Result<EndpointList, String> {
+    list::parse(&list_json(FIRST_GENERATION, true, initial_entries(0, listed)), &NameIndex::default())
 }
 
 impl Cluster {
-    /// Makes a cluster in which nothing runs yet.
+    /// Makes a cluster without running forwarders.
     ///
     /// # Errors
-    /// The settings or the list cannot be made.
+    /// The settings or the list cannot be created.
     pub fn new(plan: Plan) -> Result<Cluster, String> {
-        let setup = Setup { duties: duties(&plan)?, known: Arc::new(known(plan.listed)?), seed: plan.seed };
-        let setup = Arc::new(setup);
+        let settings = ClusterSettings {
+            duties: duty_settings(&plan)?,
+            initial_list: Arc::new(initial_list(plan.listed)?),
+            seed: plan.seed,
+        };
+        let settings = Arc::new(settings);
         let threads = plan.threads.clamp(1, usize::from(plan.members).max(1));
         Ok(Cluster {
-            shards: (0..threads).map(|_| Handle::spawn(setup.clone())).collect(),
+            shards: (0..threads).map(|_| ShardHandle::spawn(settings.clone())).collect(),
             arrivals: vec![Vec::new(); threads],
-            next: vec![Micros(u64::MAX); threads],
-            now: EPOCH,
+            next_event_at: vec![Micros(u64::MAX); threads],
+            now: CLOCK_START,
             running: BTreeSet::new(),
             links: Links::default(),
             discovery: Discovery::new(plan.listed),
-            questions: BTreeMap::new(),
-            answers: 0,
-            in_force: InForce::new(plan.members)?,
+            discovery_inputs: BTreeMap::new(),
+            answer_count: 0,
+            change_times: ChangeTimes::new(plan.members)?,
             rng: StdRng::seed_from_u64(plan.seed),
             plan,
         })
     }
 
-    /// Seconds since the beginning.
+    /// Virtual time since the start of the cluster.
     #[must_use]
     pub fn elapsed(&self) -> Micros {
-        self.now.since(EPOCH)
+        self.now.since(CLOCK_START)
     }
-    /// How changes have come into force.
+    /// Times that list changes took to come into force.
     #[must_use]
-    pub fn in_force(&self) -> &InForce {
-        &self.in_force
+    pub fn change_times(&self) -> &ChangeTimes {
+        &self.change_times
     }
-    /// Calls that discovery had, and bytes that it sent.
+    /// Number of calls that discovery received, and of bytes that it sent.
     #[must_use]
     pub fn discovery_load(&self) -> (u64, u64) {
-        (self.discovery.calls, self.discovery.bytes)
+        (self.discovery.calls, self.discovery.sent_bytes)
     }
-    /// Processes that run.
+    /// Members whose process is running.
     #[must_use]
     pub fn running(&self) -> &BTreeSet<Member> {
         &self.running
@@ -142,46 +148,47 @@
         (0..self.plan.members).map(Member)
     }
 
+    /// Index of the shard that runs a member.
     fn shard_of(&self, member: Member) -> usize {
         usize::from(member.0) % self.shards.len()
     }
 
-    /// Gives each shard its part of the members in one command.
-    fn tell_members(
+    /// Sends a command to each shard with the members that the shard runs.
+    fn command_members(
         &mut self, members: &[Member], command: impl Fn(Vec<Member>) -> Command,
     ) -> Result<(), String> {
         for shard in 0..self.shards.len() {
-            let theirs = members.iter().copied().filter(|m| self.shard_of(*m) == shard).collect();
-            self.shards[shard].tell(command(theirs))?;
+            let shard_members = members.iter().copied().filter(|m| self.shard_of(*m) == shard).collect();
+            self.shards[shard].send_command(command(shard_members))?;
             self.collect(shard)?;
         }
         Ok(())
     }
 
-    /// Starts processes. Each has the list of the first version from before.
+    /// Starts processes. Each has a cached list of the first generation.
     ///
     /// # Errors
-    /// A shard has ended.
+    /// The thread of a shard has exited.
     pub fn start(&mut self, members: &[Member]) -> Result<(), String> {
         let now = self.now;
         for member in members {
             self.running.insert(*member);
-            self.in_force.started(now, *member, FIRST_GENERATION);
-            self.in_force.reachable(now, *member, !self.links.cut_off(*member));
+            self.change_times.on_start(now, *member, FIRST_GENERATION);
+            self.change_times.set_reachable(now, *member, !self.links.is_cut_off(*member));
         }
-        self.tell_members(members, |theirs| Command::Start(now, theirs))
+        self.command_members(members, |shard_members| Command::Start(now, shard_members))
     }
 
     /// Kills processes.
     ///
     /// # Errors
-    /// A shard has ended.
+    /// The thread of a shard has exited.
     pub fn kill(&mut self, members: &[Member]) -> Result<(), String> {
         for member in members {
             self.running.remove(member);
-            self.in_force.reachable(self.now, *member, false);
+            self.change_times.set_reachable(self.now, *member, false);
         }
-        self.tell_members(members, Command::Kill)
+        self.command_members(members, Command::Kill)
     }
 
     /// The members of a zone.
@@ -190,86 +197,89 @@
         self.members().filter(|member| zone_of(*member) == zone).collect()
     }
 
-    /// So many members by chance.
-    pub fn draw(&mut self, count: usize) -> Vec<Member> {
-        let mut left: Vec<Member> = self.members().collect();
-        let count = count.min(left.len());
-        (0..count).map(|_| left.swap_remove(self.rng.random_range(0..left.len()))).collect()
+    /// Chooses `count` members at random.
+    pub fn choose_members(&mut self, count: usize) -> Vec<Member> {
+        let mut remaining: Vec<Member> = self.members().collect();
+        let count = count.min(remaining.len());
+        (0..count).map(|_| remaining.swap_remove(self.rng.random_range(0..remaining.len()))).collect()
     }
 
     /// Cuts a region off from all others.
     pub fn partition(&mut self, region: Region) {
         self.links.partition(region);
-        self.review_links();
+        self.update_reachability();
     }
 
     /// Joins all regions again.
     pub fn heal(&mut self) {
         self.links.heal();
-        self.review_links();
+        self.update_reachability();
     }
 
-    fn review_links(&mut self) {
+    fn update_reachability(&mut self) {
         for member in &self.running {
-            self.in_force.reachable(self.now, *member, !self.links.cut_off(*member));
+            self.change_times.set_reachable(self.now, *member, !self.links.is_cut_off(*member));
         }
     }
 
-    /// Discovery lists one endpoint more.
-    pub fn change(&mut self) {
-        let answers = self.discovery.change();
-        self.in_force.changed(self.now);
+    /// Makes discovery list one more endpoint.
+    pub fn add_endpoint(&mut self) {
+        let answers = self.discovery.add_endpoint();
+        self.change_times.on_change(self.now);
         answers.into_iter().for_each(|answer| self.send_answer(self.now, answer));
     }
 
-    /// Runs for so long while changes come at random, so many a second on average.
+    /// Runs for a duration, while list changes come at random with this mean rate.
     ///
     /// # Errors
-    /// A shard has ended.
-    pub fn run_with_changes(&mut self, span: Micros, per_s: f64) -> Result<(), String> {
-        let end = self.now.plus(span);
+    /// The thread of a shard has exited.
+    pub fn run_with_changes(&mut self, duration: Micros, changes_per_s: f64) -> Result<(), String> {
+        let end = self.now.plus(duration);
         loop {
-            let pause = -self.rng.random_range(f64::MIN_POSITIVE..1.0).ln() / per_s;
-            let next = self.now.plus(Micros::from_secs(pause));
-            if next >= end {
+            let pause = -self.rng.random_range(f64::MIN_POSITIVE..1.0).ln() / changes_per_s;
+            let next_event_at = self.now.plus(Micros::from_secs(pause));
+            if next_event_at >= end {
                 return self.run_until(end);
             }
-            self.run_until(next)?;
-            self.change();
+            self.run_until(next_event_at)?;
+            self.add_endpoint();
         }
     }
 
-    /// Runs for so long.
+    /// Runs for a duration.
     ///
     /// # Errors
-    /// A shard has ended.
-    pub fn run(&mut self, span: Micros) -> Result<(), String> {
-        self.run_until(self.now.plus(span))
+    /// The thread of a shard has exited.
+    pub fn run(&mut self, duration: Micros) -> Result<(), String> {
+        self.run_until(self.now.plus(duration))
     }
 
     fn run_until(&mut self, end: Micros) -> Result<(), String> {
         while self.now < end {
-            let waiting = self.arrivals.iter().flatten().map(|arrival| arrival.at);
-            let next = self.next.iter().copied().chain(waiting).chain(self.discovery_due()).min();
-            let from = next.unwrap_or(end).clamp(self.now, end);
-            // Nothing that is sent from then on can arrive before this.
+            let arrivals = self.arrivals.iter().flatten().map(|arrival| arrival.at);
+            let next_event_at =
+                self.next_event_at.iter().copied().chain(arrivals).chain(self.discovery_due()).min();
+            let from = next_event_at.unwrap_or(end).clamp(self.now, end);
+            // No link is faster than `WITHIN_ZONE`, so that nothing that is sent within the window arrives
+            // before its end.
             let until = from.plus(WITHIN_ZONE).min(end);
-            self.window(until)?;
+            self.run_window(until)?;
             self.now = until;
         }
         Ok(())
     }
 
+    /// Time of the next event at discovery.
     fn discovery_due(&self) -> Option<Micros> {
-        let question = self.questions.first_key_value().map(|((at, _, _), _)| *at);
-        question.into_iter().chain(self.discovery.due()).min()
+        let input = self.discovery_inputs.first_key_value().map(|((at, _, _), _)| *at);
+        input.into_iter().chain(self.discovery.due()).min()
     }
 
     /// Runs all shards and discovery up to a time.
-    fn window(&mut self, until: Micros) -> Result<(), String> {
+    fn run_window(&mut self, until: Micros) -> Result<(), String> {
         for shard in 0..self.shards.len() {
             let arrivals = std::mem::take(&mut self.arrivals[shard]);
-            self.shards[shard].tell(Command::Run(until, arrivals))?;
+            self.shards[shard].send_command(Command::Run(until, arrivals))?;
         }
         self.run_discovery(until);
         for shard in 0..self.shards.len() {
@@ -278,83 +288,90 @@
         Ok(())
     }
 
+    /// Takes the results of a command from a shard.
     fn collect(&mut self, shard: usize) -> Result<(), String> {
-        let Reply::Ran { departures, adopted, next } = self.shards[shard].reply()? else {
-            return Err("a shard gave another reply".into());
+        let Reply::Ran { departures, adoptions, next_event_at } = self.shards[shard].receive_reply()? else {
+            return Err("a shard answered a run command with a reply of another kind".into());
         };
-        self.next[shard] = next;
-        adopted.into_iter().for_each(|one| self.in_force.adopted(one));
-        departures.into_iter().for_each(|departure| self.depart(departure));
+        self.next_event_at[shard] = next_event_at;
+        adoptions.into_iter().for_each(|adoption| self.change_times.on_adoption(adoption));
+        departures.into_iter().for_each(|departure| self.route_departure(departure));
         Ok(())
     }
 
-    fn depart(&mut self, departure: Departure) {
-        let Departure { at, from, number, sent } = departure;
+    /// Schedules the arrival of an outbound message, unless the network loses it.
+    fn route_departure(&mut self, departure: Departure) {
+        let Departure { at, from, number, outbound } = departure;
         let (node, order) = (Node::Forwarder(from), (Node::Forwarder(from), number));
-        match sent {
-            Sent::Datagram(to, bytes) => {
-                if let Some(takes) = self.links.carry(node, Node::Forwarder(to)) {
-                    let arrival = Arrival { at: at.plus(takes), to, order, input: Input::Datagram(bytes) };
+        match outbound {
+            Outbound::Datagram(to, bytes) => {
+                if let Some(delay) = self.links.delay(node, Node::Forwarder(to)) {
+                    let arrival = Arrival { at: at.plus(delay), to, order, input: Input::Datagram(bytes) };
                     let shard = self.shard_of(to);
                     self.arrivals[shard].push(arrival);
                 }
             }
-            Sent::Ask(call, ask) => self.ask(at, call, number, ToDiscovery::Ask(ask)),
-            Sent::Close(call) => self.ask(at, call, number, ToDiscovery::Close),
+            Outbound::ListRequest(call, request) => {
+                self.send_to_discovery(at, call, number, DiscoveryInput::Request(request))
+            }
+            Outbound::CloseCall(call) => self.send_to_discovery(at, call, number, DiscoveryInput::Close),
         }
     }
 
-    fn ask(&mut self, at: Micros, call: Call, number: u64, question: ToDiscovery) {
-        if let Some(takes) = self.links.carry(Node::Forwarder(call.member), Node::Discovery) {
-            self.questions.insert((at.plus(takes), call, number), question);
+    /// Schedules the arrival of a request at discovery, unless the network loses it.
+    fn send_to_discovery(&mut self, at: Micros, call: CallId, number: u64, input: DiscoveryInput) {
+        if let Some(delay) = self.links.delay(Node::Forwarder(call.member), Node::Discovery) {
+            self.discovery_inputs.insert((at.plus(delay), call, number), input);
         }
     }
 
+    /// Runs discovery up to a time: answers expired watches, and handles the requests that arrived.
     fn run_discovery(&mut self, until: Micros) {
         while let Some(at) = self.discovery_due().filter(|at| *at < until) {
-            for (ended, answer) in self.discovery.tick(at) {
-                self.send_answer(ended, answer);
+            for (ended_at, answer) in self.discovery.tick(at) {
+                self.send_answer(ended_at, answer);
             }
-            while let Some(entry) = self.questions.first_entry().filter(|entry| entry.key().0 <= at) {
-                let ((asked, call, _), question) = entry.remove_entry();
-                match question {
-                    ToDiscovery::Close => self.discovery.close(call),
-                    ToDiscovery::Ask(ask) => {
-                        let answer = self.discovery.ask(asked, call, ask);
-                        answer.into_iter().for_each(|answer| self.send_answer(asked, answer));
+            while let Some(entry) = self.discovery_inputs.first_entry().filter(|entry| entry.key().0 <= at) {
+                let ((arrived_at, call, _), input) = entry.remove_entry();
+                match input {
+                    DiscoveryInput::Close => self.discovery.close(call),
+                    DiscoveryInput::Request(request) => {
+                        let answer = self.discovery.handle_request(arrived_at, call, request);
+                        answer.into_iter().for_each(|answer| self.send_answer(arrived_at, answer));
                     }
                 }
             }
         }
     }
 
+    /// Schedules the arrival of an answer of discovery, unless the network loses it.
     fn send_answer(&mut self, at: Micros, answer: Answer) {
         let to = answer.call.member;
-        let Some(takes) = self.links.carry(Node::Discovery, Node::Forwarder(to)) else { return };
-        self.answers += 1;
-        let (order, input) = ((Node::Discovery, self.answers), Input::Answer(answer.call, answer.body));
+        let Some(delay) = self.links.delay(Node::Discovery, Node::Forwarder(to)) else { return };
+        self.answer_count += 1;
+        let (order, input) = ((Node::Discovery, self.answer_count), Input::Answer(answer.call, answer.body));
         let shard = self.shard_of(to);
-        self.arrivals[shard].push(Arrival { at: at.plus(takes), to, order, input });
+        self.arrivals[shard].push(Arrival { at: at.plus(delay), to, order, input });
     }
 
-    /// Every forwarder that runs, in order.
+    /// Readings of all running forwarders, ordered by member.
     ///
     /// # Errors
-    /// A shard has ended.
+    /// The thread of a shard has exited.
     pub fn readings(&self) -> Result<Vec<Reading>, String> {
-        let mut all = Vec::new();
+        let mut readings = Vec::new();
         for shard in &self.shards {
-            shard.tell(Command::Read)?;
-            if let Reply::Readings(readings) = shard.reply()? {
-                all.extend(readings);
+            shard.send_command(Command::Read)?;
+            if let Reply::Readings(shard_readings) = shard.receive_reply()? {
+                readings.extend(shard_readings);
             }
         }
-        all.sort_by_key(|reading: &Reading| reading.member);
-        Ok(all)
+        readings.sort_by_key(|reading: &Reading| reading.member);
+        Ok(readings)
     }
 
-    /// The run has ended: what is not in force is counted.
-    pub fn end(&mut self) {
-        self.in_force.end(self.now);
+    /// Ends the measurement: changes that are not in force anywhere are counted as missing.
+    pub fn finish(&mut self) {
+        self.change_times.finish(self.now);
     }
 }
--- a/lab/src/scale/follower.rs
+++ b/lab/src/scale/follower.rs
@@ -1,184 +1,198 @@
-//! Follows discovery's list: the decisions of the daemon's list actor, without its connection.
+//! Follows discovery's endpoint list: the decisions of the daemon's list actor, without its connection.
 
-use super::discovery::{Ask, Call};
+use super::discovery::{CallId, ListRequest};
 use onyxrock::interface::Micros;
 use onyxrock_config::list::{self, EndpointList};
 use onyxrock_duties::{Epoch, Member};
 use onyxrock_sharing::{ListRole, ListUpdate, MAX_LIST_UPDATE_BYTES, ToList};
 
-/// What a call may take beyond the wait that it asks for, as in the daemon.
-const GRACE: Micros = Micros(1_500_000);
-/// After an answer that came at once, as in the daemon.
-const PAUSE: Micros = Micros(50_000);
-/// An answer in less time came at once.
-const AT_ONCE: Micros = Micros(20_000);
+/// Time that a call may take beyond the wait that it requests, as in the daemon.
+const CALL_GRACE: Micros = Micros(1_500_000);
+/// Delay before the next call after an immediate answer, as in the daemon.
+const REPEAT_DELAY: Micros = Micros(50_000);
+/// An answer within this time counts as immediate.
+const IMMEDIATE_ANSWER_TIME: Micros = Micros(20_000);
 
-/// Something for the forwarder to carry out.
+/// An action that the forwarder must carry out.
 #[derive(Debug)]
 pub enum Action {
-    /// Call discovery.
-    Ask(Call, Ask),
+    /// Send a request to discovery.
+    Request(CallId, ListRequest),
     /// Close a call.
-    Close(Call),
-    /// Take this list.
-    Take(EndpointList),
-    /// Tell the others.
-    Tell(ListUpdate),
-    /// Discovery could not be asked.
+    CloseCall(CallId),
+    /// Bring this list into force.
+    Adopt(EndpointList),
+    /// Send this update to all other forwarders.
+    Broadcast(ListUpdate),
+    /// Report to the core that discovery could not be reached, or that its answer was invalid.
     Failed,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Open {
-    call: Call,
-    since: Micros,
-    until: Micros,
+struct OpenCall {
+    call: CallId,
+    sent_at: Micros,
+    timeout_at: Micros,
 }
 
-/// One forwarder's end of the list.
+/// The state in which one forwarder follows the list.
 #[derive(Debug)]
 pub struct Follower {
     member: Member,
-    wait: Micros,
+    watch_time: Micros,
     generation: Option<u64>,
     role: ListRole,
-    /// What was told does not follow from what is held.
-    behind: bool,
-    silent: bool,
-    following: bool,
-    open: Option<Open>,
-    pause: Option<Micros>,
-    calls: u64,
+    /// An update did not follow the generation that is held, so that the list must be requested from
+    /// discovery.
+    missed_update: bool,
+    last_call_timed_out: bool,
+    is_following: bool,
+    open_call: Option<OpenCall>,
+    next_call_at: Option<Micros>,
+    call_count: u64,
 }
 
 impl Follower {
-    /// One that holds a version from before its start. `wait` is how long a call waits for news.
+    /// Creates a follower that holds a generation from before its start. `watch_time` is how long a call
+    /// waits for changes.
     #[must_use]
-    pub fn new(member: Member, wait: Micros, generation: u64) -> Follower {
+    pub fn new(member: Member, watch_time: Micros, generation: u64) -> Follower {
         Follower {
             member,
-            wait,
+            watch_time,
             generation: Some(generation),
             role: ListRole::Standalone,
-            behind: false,
-            silent: false,
-            following: false,
-            open: None,
-            pause: None,
-            calls: 0,
+            missed_update: false,
+            last_call_timed_out: false,
+            is_following: false,
+            open_call: None,
+            next_call_at: None,
+            call_count: 0,
         }
     }
 
-    /// The version that is held.
+    /// The generation that is held.
     #[must_use]
     pub fn generation(&self) -> Option<u64> {
         self.generation
     }
 
-    /// Who asks for the list, as seen here.
+    /// The role of this forwarder in the list duty.
     #[must_use]
     pub fn role(&self) -> ListRole {
         self.role
     }
 
-    /// The core wants the list followed.
+    /// Starts to follow the list, as the core requested.
     pub fn follow(&mut self) {
-        self.following = true;
+        self.is_following = true;
     }
 
-    /// Messages are read only while the list is followed.
+    /// Whether messages about the list are read, which happens only while the list is followed.
     #[must_use]
-    pub fn listens(&self) -> bool {
-        self.following
+    pub fn reads_messages(&self) -> bool {
+        self.is_following
     }
 
     /// When [`Follower::advance`] is due.
     #[must_use]
     pub fn due(&self) -> Option<Micros> {
-        self.pause.into_iter().chain(self.open.map(|open| open.until)).min()
+        self.next_call_at.into_iter().chain(self.open_call.map(|open| open.timeout_at)).min()
     }
 
-    fn stands_by(&self) -> bool {
-        self.role == ListRole::Follower && self.generation.is_some() && !self.behind
+    /// Whether the forwarder receives the list from the owner of the list duty, and need not call discovery.
+    fn relies_on_owner(&self) -> bool {
+        self.role == ListRole::Follower && self.generation.is_some() && !self.missed_update
     }
 
-    /// Calls discovery where that is due, and gives up a call that takes too long.
+    /// Calls discovery if that is due, and closes a call that takes too long.
     pub fn advance(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        if let Some(open) = self.open.filter(|open| open.until <= now) {
-            actions.push(Action::Close(open.call));
-            self.open = None;
-            self.fell_silent(actions);
+        if let Some(open_call) = self.open_call.filter(|open| open.timeout_at <= now) {
+            actions.push(Action::CloseCall(open_call.call));
+            self.open_call = None;
+            self.on_call_timeout(actions);
         }
-        self.pause = self.pause.filter(|until| *until > now);
-        if !self.following || self.open.is_some() || self.pause.is_some() || self.stands_by() {
+        self.next_call_at = self.next_call_at.filter(|call_at| *call_at > now);
+        if !self.is_following
+            || self.open_call.is_some()
+            || self.next_call_at.is_some()
+            || self.relies_on_owner()
+        {
             return;
         }
-        self.calls += 1;
-        let call = Call { member: self.member, number: self.calls };
-        let wait = if self.role == ListRole::Follower { Micros(0) } else { self.wait };
-        self.open = Some(Open { call, since: now, until: now.plus(self.wait).plus(GRACE) });
-        actions.push(Action::Ask(call, Ask { since: self.generation, wait }));
+        self.call_count += 1;
+        let call = CallId { member: self.member, number: self.call_count };
+        let wait = if self.role == ListRole::Follower { Micros(0) } else { self.watch_time };
+        self.open_call =
+            Some(OpenCall { call, sent_at: now, timeout_at: now.plus(self.watch_time).plus(CALL_GRACE) });
+        actions.push(Action::Request(call, ListRequest { since: self.generation, wait }));
     }
 
-    /// A watch that has fallen silent is opened anew at once; the second time the core says when.
-    fn fell_silent(&mut self, actions: &mut Vec<Action>) {
-        if !std::mem::replace(&mut self.silent, true) {
+    /// Handles a call without answer: it is repeated at once the first time; after the second time the core
+    /// decides when to follow the list again.
+    fn on_call_timeout(&mut self, actions: &mut Vec<Action>) {
+        if !std::mem::replace(&mut self.last_call_timed_out, true) {
             return;
         }
-        self.following = false;
+        self.is_following = false;
         actions.push(Action::Failed);
     }
 
-    /// What the instance that asks for the list has told, or who that is.
-    pub fn take(&mut self, message: ToList, names: &onyxrock::core::NameIndex, actions: &mut Vec<Action>) {
-        // Whatever comes, the actor begins its turn anew, and with it its call.
-        if let Some(open) = self.open.take() {
-            actions.push(Action::Close(open.call));
+    /// Handles a list update from the owner of the list duty, or a change of this forwarder's role.
+    pub fn on_list_message(
+        &mut self, message: ToList, names: &onyxrock::core::NameIndex, actions: &mut Vec<Action>,
+    ) {
+        // As in the daemon, where each message restarts the turn of the actor, the open call is closed.
+        if let Some(open_call) = self.open_call.take() {
+            actions.push(Action::CloseCall(open_call.call));
         }
         match message {
             ToList::Role(role) => self.role = role,
             ToList::Update(_) if self.role != ListRole::Follower => {}
-            ToList::Update(news) if self.generation == Some(news.generation) => {}
-            ToList::Update(news) => {
-                let follows = self.generation == Some(news.previous_generation) && !news.body.is_empty();
-                let list = follows.then(|| list::parse(&news.body, names).ok()).flatten();
-                match list.filter(|list| list.generation == news.generation) {
+            ToList::Update(list_update) if self.generation == Some(list_update.generation) => {}
+            ToList::Update(list_update) => {
+                let follows =
+                    self.generation == Some(list_update.previous_generation) && !list_update.body.is_empty();
+                let list = follows.then(|| list::parse(&list_update.body, names).ok()).flatten();
+                match list.filter(|list| list.generation == list_update.generation) {
                     Some(list) => {
                         self.generation = Some(list.generation);
-                        actions.push(Action::Take(list));
+                        actions.push(Action::Adopt(list));
                     }
-                    None => self.behind = true,
+                    None => self.missed_update = true,
                 }
             }
         }
     }
 
-    /// Discovery has answered a call.
-    pub fn answered(
-        &mut self, now: Micros, call: Call, body: &[u8], names: &onyxrock::core::NameIndex,
+    /// Handles discovery's answer to a call.
+    pub fn on_answer(
+        &mut self, now: Micros, call: CallId, body: &[u8], names: &onyxrock::core::NameIndex,
         actions: &mut Vec<Action>,
     ) {
-        let Some(open) = self.open.filter(|open| open.call == call) else { return };
-        self.open = None;
+        let Some(open_call) = self.open_call.filter(|open| open.call == call) else { return };
+        self.open_call = None;
         let Ok(list) = list::parse(body, names) else {
-            self.following = false;
+            self.is_following = false;
             actions.push(Action::Failed);
             return;
         };
-        (self.behind, self.silent) = (false, false);
+        (self.missed_update, self.last_call_timed_out) = (false, false);
         if let ListRole::Owner(epoch) = self.role {
-            actions.push(Action::Tell(self.news(epoch, &list, body)));
+            actions.push(Action::Broadcast(self.list_update(epoch, &list, body)));
         }
         self.generation = Some(list.generation);
-        if now.since(open.since) < AT_ONCE {
-            self.pause = Some(now.plus(PAUSE));
+        if now.since(open_call.sent_at) < IMMEDIATE_ANSWER_TIME {
+            self.next_call_at = Some(now.plus(REPEAT_DELAY));
         }
-        actions.push(Action::Take(list));
+        actions.push(Action::Adopt(list));
     }
 
-    fn news(&self, epoch: Epoch, list: &EndpointList, body: &[u8]) -> ListUpdate {
-        let from = self.generation.unwrap_or(list.generation);
+    /// The update that is sent to the other forwarders. A body that is too large is left out, so that they
+    /// request the list.
+    fn list_update(&self, epoch: Epoch, list: &EndpointList, body: &[u8]) -> ListUpdate {
+        let previous_generation = self.generation.unwrap_or(list.generation);
         let body = if body.len() <= MAX_LIST_UPDATE_BYTES { body.to_vec() } else { Vec::new() };
-        ListUpdate { epoch, previous_generation: from, generation: list.generation, body }
+        ListUpdate { epoch, previous_generation, generation: list.generation, body }
     }
 }
--- a/lab/src/scale/forwarder.rs
+++ b/lab/src/scale/forwarder.rs
@@ -1,8 +1,8 @@
-//! One hollow forwarder: the crates of a daemon's control, put together as the daemon does.
+//! One hollow forwarder: the crates that a daemon runs for control, combined as in the daemon.
 
-use super::discovery::{Ask, Call, added_by, answer_bytes};
+use super::change_times::Adoption;
+use super::discovery::{CallId, ListRequest, answer_bytes, endpoint_added_by};
 use super::follower::{Action, Follower};
-use super::in_force::Adopted;
 use super::meter::{Reading, Usage};
 use super::wire::{self, Audience};
 use async_channel::{Receiver, bounded};
@@ -19,62 +19,63 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Endpoints that a list may name, over those of the two-year size.
-pub const LISTED_MOST: usize = 2_000_000;
-/// As the lab's daemons are configured.
-const ASK_EVERY: Micros = Micros(10_000_000);
-/// A call for the list waits for half of that.
-const WATCH: Micros = Micros(5_000_000);
-const GIVE_UP: Micros = Micros(5_000_000);
+/// Number of endpoints that a list may contain: more than the list has at the size expected in two years.
+pub const MAX_LISTED_ENDPOINTS: usize = 2_000_000;
+/// Interval of polls of the list, as the lab's daemons are configured.
+const LIST_POLL_INTERVAL: Micros = Micros(10_000_000);
+/// Time that a call for the list waits for changes: half of `LIST_POLL_INTERVAL`.
+const WATCH_TIMEOUT: Micros = Micros(5_000_000);
+/// Time after which messages of the only class are given up.
+const GIVE_UP_AFTER: Micros = Micros(5_000_000);
 
-/// What every forwarder of a cluster is configured with.
+/// The configuration of every forwarder of a cluster.
 #[derive(Clone, Debug)]
-pub struct Setup {
-    /// Members, voters, keys and the length of leases.
+pub struct ClusterSettings {
+    /// Members, voters, keys and the duration of leases.
     pub duties: DutySettings,
-    /// The list that a start finds, which discovery had told before.
-    pub known: Arc<EndpointList>,
-    /// Of all chance.
+    /// The list that a process finds cached at its start.
+    pub initial_list: Arc<EndpointList>,
+    /// Seed of all random numbers.
     pub seed: u64,
 }
 
-/// What happens to a forwarder.
+/// An input of a forwarder.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A datagram came.
+    /// A datagram arrived.
     Datagram(Vec<u8>),
-    /// Discovery answered.
-    Answer(Call, Arc<[u8]>),
-    /// Time has passed.
+    /// Discovery answered a call.
+    Answer(CallId, Arc<[u8]>),
+    /// The forwarder's timer fired.
     Timer,
 }
 
-/// What a forwarder sends.
+/// Something that a forwarder sends.
 #[derive(Clone, Debug)]
-pub enum Sent {
-    /// To another forwarder.
+pub enum Outbound {
+    /// A datagram to another forwarder.
     Datagram(Member, Vec<u8>),
-    /// To discovery.
-    Ask(Call, Ask),
-    /// To discovery: a call is closed.
-    Close(Call),
+    /// A request to discovery.
+    ListRequest(CallId, ListRequest),
+    /// The close of a call to discovery.
+    CloseCall(CallId),
 }
 
-/// What came of a step.
+/// The results of a step.
 #[derive(Debug, Default)]
-pub struct Results {
-    /// What leaves now.
-    pub sent: Vec<Sent>,
+pub struct StepResults {
+    /// What the forwarder sends now.
+    pub outbound: Vec<Outbound>,
     /// Lists that came into force.
-    pub adopted: Vec<Adopted>,
+    pub adoptions: Vec<Adoption>,
 }
 
-/// One forwarder without messages.
+/// One forwarder that takes no messages.
 pub struct Forwarder {
     member: Member,
     names: NameIndex,
     membership: Membership,
-    probing: DutyRunner,
+    duty_runner: DutyRunner,
     ledger: Ledger,
     directory: Directory,
     follower: Follower,
@@ -83,11 +84,11 @@
     usage: Usage,
 }
 
-/// The settings of the core, of one of so many senders.
-fn settings(members: u16, member: Member) -> Settings {
+/// The settings of the core of one of `members` senders.
+fn core_settings(members: u16, member: Member) -> Settings {
     let class = ClassSettings {
         target_latency: Micros(800_000),
-        give_up_after: GIVE_UP,
+        give_up_after: GIVE_UP_AFTER,
         effect: Effect::Safe,
         value: 1.0,
         late_value_share: 0.1,
@@ -102,14 +103,14 @@
         sender_count: u32::from(members),
         sender_index: u32::from(member.0),
         subscribe_to_list: true,
-        list_poll_interval: ASK_EVERY,
+        list_poll_interval: LIST_POLL_INTERVAL,
         peer_hints: true,
         ..Settings::default()
     }
 }
 
-/// An entry of the list, as the directory takes it.
-fn endpoint(listed: &ListedEndpoint) -> Endpoint<'_> {
+/// An entry of the list in the form that the directory takes.
+fn directory_endpoint(listed: &ListedEndpoint) -> Endpoint<'_> {
     Endpoint {
         name: &listed.name,
         address: listed.address,
@@ -121,73 +122,88 @@
     }
 }
 
-/// A directory as every forwarder has it, with nothing listed.
+/// An empty directory with the settings that every forwarder uses.
 #[must_use]
 pub fn directory() -> Directory {
-    let (terms, zones) = (HealthDecay::default(), BTreeMap::new());
+    let (health_decay, zones) = (HealthDecay::default(), BTreeMap::new());
     Directory::new(DirectorySettings {
-        max_endpoints: LISTED_MOST,
+        max_endpoints: MAX_LISTED_ENDPOINTS,
         deactivate_after: None,
-        health_decay: terms,
+        health_decay: health_decay,
         zones,
     })
 }
 
-/// Takes a list into a directory.
-pub fn take(directory: &mut Directory, now: Micros, list: &EndpointList) -> DirectoryOutput {
-    let mut follows = DirectoryOutput::default();
+/// Applies a list to a directory.
+pub fn apply_list(directory: &mut Directory, now: Micros, list: &EndpointList) -> DirectoryOutput {
+    let mut output = DirectoryOutput::default();
     if list.complete {
         directory.begin_complete_list();
     }
     for listed in &list.entries {
-        // What finds no place is left out, and `Forwarder::take` sees that it is missing.
-        let _ = directory.put(now, endpoint(listed), &mut follows);
+        // An endpoint that does not fit is left out; `Forwarder::adopt_list` detects that it is missing.
+        let _ = directory.put(now, directory_endpoint(listed), &mut output);
     }
-    directory.sweep(now, usize::MAX, &mut follows);
+    directory.sweep(now, usize::MAX, &mut output);
     directory.finish_list();
-    follows
+    output
 }
 
 impl Forwarder {
-    /// A process that starts now. `life` counts the starts of all, `kept` is what its voter made last.
+    /// Starts a process. `start_number` counts the starts of this member, `stored_epoch` is the last epoch
+    /// that its voter issued.
     #[must_use]
-    pub fn start(setup: &Setup, member: Member, life: u64, kept: Rc<Cell<Epoch>>, now: Micros) -> Forwarder {
-        let duties = &setup.duties;
+    pub fn start(
+        settings: &ClusterSettings, member: Member, start_number: u64, stored_epoch: Rc<Cell<Epoch>>,
+        now: Micros,
+    ) -> Forwarder {
+        let duties = &settings.duties;
         let members = duties.members.len() as u16;
-        let entropy = setup.seed ^ (u64::from(member.0) << 40) ^ life;
-        let seen = MembershipSettings {
+        let entropy = settings.seed ^ (u64::from(member.0) << 40) ^ start_number;
+        let membership_settings = MembershipSettings {
             me: member,
             member_count: members,
             keys: duties.keys.clone(),
             timing: detector_timing(duties.lease_duration),
         };
-        let membership = Membership::new(seen, now.0 + life, entropy, now);
-        let mut settings = settings(members, member);
-        let hold_back = Micros(duties.lease_duration.0 * 3);
-        let class = add_probe_class(&mut settings, Micros(duties.probe.timeout.0 * 2), hold_back);
-        let mut ledger = Ledger::new(settings, NameIndex::default(), Default::default(), entropy);
-        let (peers, to_peers) = bounded((4 * usize::from(members)).max(1024));
-        let (list, to_list) = bounded(64);
-        let memory = match kept.get() {
+        let membership = Membership::new(membership_settings, now.0 + start_number, entropy, now);
+        let mut core_settings = core_settings(members, member);
+        let message_probe_delay = Micros(duties.lease_duration.0 * 3);
+        let class =
+            add_probe_class(&mut core_settings, Micros(duties.probe.timeout.0 * 2), message_probe_delay);
+        let mut ledger = Ledger::new(core_settings, NameIndex::default(), Default::default(), entropy);
+        let (to_peers_sender, to_peers) = bounded((4 * usize::from(members)).max(1024));
+        let (to_list_sender, to_list) = bounded(64);
+        let stored_bound = match stored_epoch.get() {
             0 => StoredBound::Lost,
             epoch => StoredBound::Known(epoch),
         };
-        let keep = Box::new(move |epoch| {
-            kept.set(epoch);
+        let store_epoch = Box::new(move |epoch| {
+            stored_epoch.set(epoch);
             true
         });
         let boot = membership.boot_id();
-        let probing = DutyRunner::new(duties, member, boot, now, class, peers, list, memory, keep);
+        let duty_runner = DutyRunner::new(
+            duties,
+            member,
+            boot,
+            now,
+            class,
+            to_peers_sender,
+            to_list_sender,
+            stored_bound,
+            store_epoch,
+        );
         let mut directory = directory();
-        take(&mut directory, now, &setup.known);
+        apply_list(&mut directory, now, &settings.initial_list);
         ledger.on_list_event(now, Event::ListChanges(Vec::new()));
-        let follower = Follower::new(member, WATCH, setup.known.generation);
+        let follower = Follower::new(member, WATCH_TIMEOUT, settings.initial_list.generation);
         let (names, usage) = (NameIndex::default(), Usage::default());
         Forwarder {
             member,
             names,
             membership,
-            probing,
+            duty_runner,
             ledger,
             directory,
             follower,
@@ -200,22 +216,22 @@
     /// When [`Input::Timer`] is due.
     #[must_use]
     pub fn due(&self) -> Micros {
-        let fixed = [self.membership.due(), self.probing.due()];
-        let open = self.ledger.decide_due().into_iter().chain(self.follower.due());
-        fixed.into_iter().chain(open).min().unwrap_or(Micros(u64::MAX))
+        let fixed = [self.membership.due(), self.duty_runner.due()];
+        let optional = self.ledger.decide_due().into_iter().chain(self.follower.due());
+        fixed.into_iter().chain(optional).min().unwrap_or(Micros(u64::MAX))
     }
 
-    /// What it has used is added to what an earlier process of it had.
-    pub fn add_usage(&mut self, earlier: Usage) {
+    /// Sets the usage to that of the member's earlier processes.
+    pub fn set_usage(&mut self, earlier: Usage) {
         self.usage = earlier;
     }
 
-    /// So much of the processor was used for it.
+    /// Adds processor time that was spent on this forwarder.
     pub fn add_cpu(&mut self, seconds: f64) {
         self.usage.cpu_s += seconds;
     }
 
-    /// How it is.
+    /// The forwarder's current state and usage.
     #[must_use]
     pub fn reading(&self) -> Reading {
         Reading {
@@ -223,138 +239,144 @@
             usage: self.usage,
             alive: self.membership.alive().len(),
             owns_list: matches!(self.follower.role(), ListRole::Owner(_)),
-            told_list: self.follower.role() == ListRole::Follower,
+            follows_list_owner: self.follower.role() == ListRole::Follower,
         }
     }
 
-    /// Takes what happened, and does all that follows.
-    pub fn step(&mut self, now: Micros, input: Input, results: &mut Results) {
+    /// Handles an input and everything that follows from it.
+    pub fn step(&mut self, now: Micros, input: Input, results: &mut StepResults) {
         let mut actions = Vec::new();
         self.usage.wakes += 1;
         match input {
             Input::Datagram(bytes) => {
                 self.usage.datagrams += 1;
                 self.usage.datagram_bytes += bytes.len() as u64;
-                // Refused datagrams are counted by the membership.
+                // The membership counts rejected datagrams itself.
                 let _ = self.membership.receive(now, &bytes);
             }
             Input::Answer(call, body) => {
                 self.usage.discovery_bytes += answer_bytes(&body);
-                self.follower.answered(now, call, &body, &self.names, &mut actions);
+                self.follower.on_answer(now, call, &body, &self.names, &mut actions);
             }
             Input::Timer => {}
         }
         self.membership.tick(now);
         loop {
-            let heard = self.carry_out_membership(now, results);
-            let acted = self.carry_out_list(now, &mut actions, results);
-            let decided = self.decide(now);
-            let told = self.tell_others();
-            if !(heard || acted || decided || told) {
+            let membership_active = self.process_membership_outputs(now, results);
+            let list_active = self.process_list_actions(now, &mut actions, results);
+            let list_requested = self.decide(now);
+            let messages_sent = self.send_duty_messages();
+            if !(membership_active || list_active || list_requested || messages_sent) {
                 break;
             }
         }
     }
 
-    /// Sends datagrams, and hands what others told to the actors. True if there was any.
-    fn carry_out_membership(&mut self, now: Micros, results: &mut Results) -> bool {
-        let (mut any, mut view_changed) = (false, false);
+    /// Sends datagrams, and hands the messages of other forwarders to the duties. Returns true if there was
+    /// any output.
+    fn process_membership_outputs(&mut self, now: Micros, results: &mut StepResults) -> bool {
+        let (mut progressed, mut view_changed) = (false, false);
         while let Some(output) = self.membership.poll() {
-            any = true;
+            progressed = true;
             match output {
                 Output::Datagram { to, bytes } => {
                     self.usage.datagrams += 1;
                     self.usage.datagram_bytes += bytes.len() as u64;
                     self.usage.sent_bytes += bytes.len() as u64;
-                    results.sent.push(Sent::Datagram(to, bytes));
+                    results.outbound.push(Outbound::Datagram(to, bytes));
                 }
                 Output::Payload { from, bytes } => {
                     if let Some(message) = wire::decode(from, &bytes) {
-                        self.probing.receive(now, message);
+                        self.duty_runner.receive(now, message);
                     }
                 }
                 Output::Up(_) | Output::Down(_) => view_changed = true,
             }
         }
         if view_changed {
-            self.probing.receive(now, FromPeers::Alive(self.membership.alive()));
+            self.duty_runner.receive(now, FromPeers::Alive(self.membership.alive()));
         }
-        any
+        progressed
     }
 
-    /// Follows the list. True if something was done.
-    fn carry_out_list(&mut self, now: Micros, actions: &mut Vec<Action>, results: &mut Results) -> bool {
-        while self.follower.listens()
+    /// Handles messages about the list and carries out the follower's actions. Returns true if there was any
+    /// action.
+    fn process_list_actions(
+        &mut self, now: Micros, actions: &mut Vec<Action>, results: &mut StepResults,
+    ) -> bool {
+        while self.follower.reads_messages()
             && let Ok(message) = self.to_list.try_recv()
         {
-            self.follower.take(message, &self.names, actions);
+            self.follower.on_list_message(message, &self.names, actions);
         }
         self.follower.advance(now, actions);
-        let any = !actions.is_empty();
+        let progressed = !actions.is_empty();
         for action in actions.drain(..) {
             match action {
-                Action::Ask(call, ask) => {
-                    self.usage.discovery_bytes += ask.bytes();
-                    results.sent.push(Sent::Ask(call, ask));
+                Action::Request(call, request) => {
+                    self.usage.discovery_bytes += request.bytes();
+                    results.outbound.push(Outbound::ListRequest(call, request));
                 }
-                Action::Close(call) => results.sent.push(Sent::Close(call)),
-                Action::Tell(news) => {
-                    if let Some((_, payload)) = wire::encode(ToPeers::ListUpdate(news)) {
-                        send_all(&mut self.membership, &payload);
+                Action::CloseCall(call) => results.outbound.push(Outbound::CloseCall(call)),
+                Action::Broadcast(update) => {
+                    if let Some((_, payload)) = wire::encode(ToPeers::ListUpdate(update)) {
+                        broadcast(&mut self.membership, &payload);
                     }
                 }
-                Action::Take(list) => self.take(now, &list, results),
+                Action::Adopt(list) => self.adopt_list(now, &list, results),
                 Action::Failed => {
-                    self.probing.set_list_generation(None);
+                    self.duty_runner.set_list_generation(None);
                     self.ledger.on_list_event(now, Event::ListFailed);
                 }
             }
         }
-        any
+        progressed
     }
 
-    /// Takes a list. It is in force if the directory has what the version added.
-    fn take(&mut self, now: Micros, list: &EndpointList, results: &mut Results) {
-        let follows = take(&mut self.directory, now, list);
-        if !follows.entries.is_empty() {
-            self.ledger.on_list_event(now, Event::CachedEntries(follows.entries));
+    /// Brings a list into force. It counts as in force if the directory contains the endpoint that its
+    /// generation added.
+    fn adopt_list(&mut self, now: Micros, list: &EndpointList, results: &mut StepResults) {
+        let output = apply_list(&mut self.directory, now, list);
+        if !output.entries.is_empty() {
+            self.ledger.on_list_event(now, Event::CachedEntries(output.entries));
         }
-        self.probing.set_list_generation(Some(list.generation));
+        self.duty_runner.set_list_generation(Some(list.generation));
         self.ledger.on_list_event(now, Event::ListChanges(Vec::new()));
-        let (name, destination) = added_by(list.generation);
+        let (name, destination) = endpoint_added_by(list.generation);
         if self.directory.destination_of(&name) == Some(destination) {
-            results.adopted.push(Adopted { at: now, member: self.member, generation: list.generation });
+            results.adoptions.push(Adoption { at: now, member: self.member, generation: list.generation });
         }
     }
 
-    /// One turn of the actor round the core. True if it wants the list followed.
+    /// One turn of the duties and the core. Returns true if the core requests the list.
     fn decide(&mut self, now: Micros) -> bool {
-        self.probing.tick(now, &mut self.ledger);
-        let mut steps = Vec::new();
-        self.ledger.decide(now, true, &mut steps);
-        let follow = steps.iter().any(|step| matches!(step, LedgerAction::RequestList));
+        self.duty_runner.tick(now, &mut self.ledger);
+        let mut ledger_actions = Vec::new();
+        self.ledger.decide(now, true, &mut ledger_actions);
+        let follow = ledger_actions.iter().any(|action| matches!(action, LedgerAction::RequestList));
         if follow {
             self.follower.follow();
         }
         follow
     }
 
-    /// Sends what the duties have for other forwarders. True if there was any.
-    fn tell_others(&mut self) -> bool {
-        let mut any = false;
+    /// Sends the duties' messages to other forwarders. Returns true if there was any.
+    fn send_duty_messages(&mut self) -> bool {
+        let mut progressed = false;
         while let Ok(message) = self.to_peers.try_recv() {
-            any = true;
+            progressed = true;
             match wire::encode(message) {
                 Some((Audience::One(to), payload)) => drop(self.membership.send(to, &payload)),
-                Some((Audience::All, payload)) => send_all(&mut self.membership, &payload),
+                Some((Audience::All, payload)) => broadcast(&mut self.membership, &payload),
                 None => {}
             }
         }
-        any
+        progressed
     }
 }
 
-fn send_all(membership: &mut Membership, payload: &[u8]) {
+/// Sends a payload to all other members that are seen alive.
+fn broadcast(membership: &mut Membership, payload: &[u8]) {
     let me = membership.me();
     for to in membership.alive().into_iter().filter(|member| *member != me) {
         membership.send(to, payload);
--- a/lab/src/scale/links.rs
+++ b/lab/src/scale/links.rs
@@ -1,16 +1,16 @@
-//! The network between forwarders and discovery, and its faults.
+//! The simulated network between the forwarders and discovery, and its faults.
 
-use super::placement::{DISCOVERY, Region, Zone, zone_of};
+use super::placement::{DISCOVERY_ZONE, Region, Zone, zone_of};
 use crate::testbed::faults::FaultRecord;
 use onyxrock::interface::Micros;
 use onyxrock_duties::Member;
 use std::collections::BTreeSet;
 
-/// One way between two machines of a zone. No link is faster.
+/// One-way delay between two machines of a zone. No link is faster.
 pub const WITHIN_ZONE: Micros = Micros(1_000);
-/// One way between two zones of a region.
+/// One-way delay between two zones of a region.
 pub const WITHIN_REGION: Micros = Micros(2_000);
-/// One way between two regions.
+/// One-way delay between two regions.
 pub const BETWEEN_REGIONS: Micros = Micros(40_000);
 
 /// One end of a link.
@@ -23,58 +23,60 @@
 }
 
 impl Node {
-    /// Where it stands.
+    /// The zone in which the node is placed.
     #[must_use]
     pub fn zone(self) -> Zone {
         match self {
             Node::Forwarder(member) => zone_of(member),
-            Node::Discovery => DISCOVERY,
+            Node::Discovery => DISCOVERY_ZONE,
         }
     }
 }
 
-/// All links, and the faults that hold now.
+/// All links, and the faults that are in effect.
 #[derive(Debug, Default)]
 pub struct Links {
-    /// All are as within one zone.
+    /// All links have the delay within a zone.
     near: bool,
     partitioned: BTreeSet<Region>,
-    unreached: BTreeSet<Member>,
-    record: Vec<FaultRecord>,
-    lost: u64,
+    unreachable_members: BTreeSet<Member>,
+    fault_records: Vec<FaultRecord>,
+    lost_count: u64,
 }
 
 impl Links {
-    /// Links as within one zone, whatever the placement: as near as daemons on one machine are.
+    /// Links with the delay within a zone whatever the placement, as between daemons on one machine.
     #[must_use]
     pub fn near() -> Links {
         Links { near: true, ..Links::default() }
     }
 
-    /// The time that a datagram takes on its way; none if it is lost.
-    pub fn carry(&mut self, from: Node, to: Node) -> Option<Micros> {
-        let (here, there) = (from.zone().region(), to.zone().region());
-        let is_cut = |region| self.partitioned.contains(&region);
-        let partitioned = here != there && (is_cut(here) || is_cut(there));
-        let unreached = matches!(to, Node::Forwarder(member) if self.unreached.contains(&member));
-        if partitioned || unreached {
-            self.lost += 1;
+    /// The delay of a datagram or call on its way; none if it is lost. Lost ones are counted.
+    pub fn delay(&mut self, from: Node, to: Node) -> Option<Micros> {
+        let (from_region, to_region) = (from.zone().region(), to.zone().region());
+        let is_partitioned = |region| self.partitioned.contains(&region);
+        let partitioned =
+            from_region != to_region && (is_partitioned(from_region) || is_partitioned(to_region));
+        let unreachable = matches!(to, Node::Forwarder(member) if self.unreachable_members.contains(&member));
+        if partitioned || unreachable {
+            self.lost_count += 1;
             return None;
         }
         Some(if self.near || from.zone() == to.zone() {
             WITHIN_ZONE
-        } else if here == there {
+        } else if from_region == to_region {
             WITHIN_REGION
         } else {
             BETWEEN_REGIONS
         })
     }
 
-    /// The forwarder is cut off from discovery by a partition.
+    /// Whether a partition separates the forwarder from discovery.
     #[must_use]
-    pub fn cut_off(&self, member: Member) -> bool {
-        let (here, there) = (zone_of(member).region(), DISCOVERY.region());
-        here != there && (self.partitioned.contains(&here) || self.partitioned.contains(&there))
+    pub fn is_cut_off(&self, member: Member) -> bool {
+        let (from_region, to_region) = (zone_of(member).region(), DISCOVERY_ZONE.region());
+        from_region != to_region
+            && (self.partitioned.contains(&from_region) || self.partitioned.contains(&to_region))
     }
 
     /// Cuts a region off from all others.
@@ -87,25 +89,25 @@
         self.partitioned.clear();
     }
 
-    /// From now on nothing reaches this forwarder, while it goes on sending.
-    pub fn unreach(&mut self, member: Member) {
-        self.unreached.insert(member);
+    /// Makes a forwarder unreachable from now on, while it continues to send.
+    pub fn make_unreachable(&mut self, member: Member) {
+        self.unreachable_members.insert(member);
     }
 
-    /// Writes a fault down.
-    pub fn note(&mut self, now: Micros, what: impl Into<String>) {
-        self.record.push(FaultRecord { at_s: now.0 as f64 / 1e6, what: what.into() });
+    /// Adds a fault to the record.
+    pub fn record_fault(&mut self, now: Micros, description: impl Into<String>) {
+        self.fault_records.push(FaultRecord { at_s: now.0 as f64 / 1e6, what: description.into() });
     }
 
-    /// The faults so far.
+    /// The recorded faults.
     #[must_use]
-    pub fn record(&self) -> &[FaultRecord] {
-        &self.record
+    pub fn fault_records(&self) -> &[FaultRecord] {
+        &self.fault_records
     }
 
-    /// What was lost on the way.
+    /// Number of datagrams and calls that were lost.
     #[must_use]
-    pub fn lost(&self) -> u64 {
-        self.lost
+    pub fn lost_count(&self) -> u64 {
+        self.lost_count
     }
 }
--- a/lab/src/scale/placement.rs
+++ b/lab/src/scale/placement.rs
@@ -1,13 +1,13 @@
-//! Regions and zones, and the forwarders in them.
+//! Regions and zones, and the placement of forwarders in them.
 
 use onyxrock_duties::Member;
 
-/// Regions of the two-year size.
+/// Number of regions at the size expected in two years.
 pub const REGIONS: u16 = 6;
-/// Zones of all regions together.
+/// Number of zones of all regions together.
 pub const ZONES: u16 = 23;
 
-/// One zone; zones of one region are [`REGIONS`] apart.
+/// One zone; the numbers of zones of one region differ by multiples of [`REGIONS`].
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct Zone(pub u16);
 
@@ -15,8 +15,8 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct Region(pub u16);
 
-/// Where discovery stands.
-pub const DISCOVERY: Zone = Zone(0);
+/// The zone in which discovery is placed.
+pub const DISCOVERY_ZONE: Zone = Zone(0);
 
 impl Zone {
     /// The region that the zone belongs to.
@@ -26,7 +26,7 @@
     }
 }
 
-/// The zone of a forwarder: forwarders are dealt to the zones in turn.
+/// The zone of a forwarder: forwarders are assigned to the zones in turn.
 #[must_use]
 pub fn zone_of(member: Member) -> Zone {
     Zone(member.0 % ZONES)
--- a/lab/src/scale/play.rs
+++ b/lab/src/scale/play.rs
@@ -1,4 +1,4 @@
-//! One size of a hollow cluster, from its start through every fault.
+//! Runs a hollow cluster of one size from its start through every fault, and measures it.
 
 use super::cluster::{Cluster, Plan};
 use super::links::{BETWEEN_REGIONS, WITHIN_REGION, WITHIN_ZONE};
@@ -12,46 +12,52 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// Changes of the list in a day, two years from now.
+/// Number of list changes in a day, as expected in two years.
 pub const CHANGES_PER_DAY: f64 = 9_000.0;
 const DAY_S: f64 = 86_400.0;
-/// How often a cluster that settles is looked at.
-const LOOK_EVERY: Micros = Micros(2_000_000);
+/// Interval at which a starting cluster is checked for whether it has settled.
+const STATUS_INTERVAL: Micros = Micros(2_000_000);
+/// Number of list changes in a burst.
 const BURST_CHANGES: u32 = 40;
-const BURST_EVERY: Micros = Micros(25_000);
-/// A restarted process is down for so long.
-const RESTART: Micros = Micros(1_000_000);
-/// Of all forwarders, those that restart at once.
-const RESTARTED: usize = 20;
+/// Interval between the changes of a burst.
+const BURST_INTERVAL: Micros = Micros(25_000);
+/// Time that a restarted process is down.
+const RESTART_DOWNTIME: Micros = Micros(1_000_000);
+/// One of this number of forwarders is restarted.
+const RESTARTED_DIVISOR: usize = 20;
+/// The zone whose forwarders are all killed.
 const LOST_ZONE: Zone = Zone(7);
-const CUT_REGION: Region = Region(3);
-/// Long enough that the last change is judged everywhere.
-const TAIL: Micros = Micros(12_000_000);
+/// The region that is cut off.
+const PARTITIONED_REGION: Region = Region(3);
+/// Time after the last fault, long enough that the last change can be judged at every forwarder.
+const FINAL_RUN: Micros = Micros(12_000_000);
 
-/// How long the parts of a play take.
+/// Durations of the parts of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Spans {
-    /// The longest that a start may take until everybody sees everybody and is told the list.
+    /// The longest time that a start may take until every forwarder sees all others and has a role in the
+    /// list duty.
     pub settle_most: Micros,
-    /// The least: what is new at a start goes on being told for a while.
+    /// The shortest time of a start: after a start, new information continues to be sent for a while.
     pub settle_least: Micros,
-    /// What is measured without faults.
+    /// The time that is measured without faults.
     pub steady: Micros,
-    /// After each fault, and after each return.
+    /// The time after each fault and after each return.
     pub fault: Micros,
 }
 
-/// What a size came to.
+/// The results of one size.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
-    /// Forwarders.
+    /// Number of forwarders.
     pub forwarders: u16,
-    /// Virtual seconds until the start had settled; none if it had not in time.
+    /// Virtual seconds until the start had settled; none if it did not settle in time.
     pub settled_s: Option<f64>,
-    /// Share of a core, with what its datagrams and wakes would cost a real daemon, mean and worst forwarder.
+    /// Share of a core, including what the datagrams and wakes would cost a real daemon, mean and worst
+    /// forwarder.
     pub cpu_share_mean: f64,
     pub cpu_share_worst: f64,
-    /// The same without that.
+    /// The same without the cost of datagrams and wakes.
     pub cpu_share_hollow_mean: f64,
     pub cpu_share_hollow_worst: f64,
     /// Payload bytes sent and received, mean and worst forwarder.
@@ -60,70 +66,72 @@
     /// Datagrams sent and received, mean and worst forwarder.
     pub datagrams_per_s_mean: f64,
     pub datagrams_per_s_worst: f64,
-    /// Times that the forwarder that is woken most is.
+    /// Wakes per second of the forwarder that is woken most often.
     pub wakes_per_s_worst: f64,
-    /// Bytes sent in datagrams by each, mean.
+    /// Payload bytes of datagrams sent per forwarder, mean.
     pub sent_bytes_per_s_mean: f64,
-    /// Share of a core and bytes while the faults came, worst forwarder.
+    /// Share of a core and payload bytes while the faults occurred, worst forwarder.
     pub faults_cpu_share_worst: f64,
     pub faults_bytes_per_s_worst: f64,
-    /// Processor and bytes of the start, mean of all forwarders.
+    /// Processor time and payload bytes of the start, mean of all forwarders.
     pub start_cpu_s_mean: f64,
     pub start_bytes_mean: f64,
-    /// Resident megabytes that one forwarder needs.
+    /// Resident memory in megabytes per forwarder.
     pub mb_each: f64,
-    /// Changes that came, and how long they took to be in force.
+    /// Number of list changes, and the times that they took to come into force.
     pub changes: usize,
     pub change_p50_ms: f64,
     pub change_p99_ms: f64,
     pub change_worst_ms: f64,
     pub change_worst_at: u16,
-    /// The worst from the change or the start of a process, whether discovery could be reached or not.
+    /// The longest time from the change or the start of a process, whether discovery could be reached or not.
     pub change_worst_unexcused_ms: f64,
     pub change_samples: u64,
     pub change_missing: u64,
-    /// Calls for the list a second, over the whole play.
+    /// Calls for the list per second over the whole run.
     pub discovery_calls_per_s: f64,
-    /// Lost by faults.
+    /// Datagrams and calls that were lost by faults.
     pub lost: u64,
-    /// Virtual and real seconds of the play.
+    /// Virtual and real seconds of the run.
     pub virtual_s: f64,
     pub wall_s: f64,
-    /// What was done to it.
+    /// The faults of the run.
     pub faults: Vec<FaultRecord>,
 }
 
-/// The links, for a report.
+/// The delays of the links, for a report.
 #[must_use]
 pub fn links() -> Value {
     json!({"within_zone_ms": WITHIN_ZONE.0 / 1000, "within_region_ms": WITHIN_REGION.0 / 1000,
         "between_regions_ms": BETWEEN_REGIONS.0 / 1000})
 }
 
-fn per_day() -> f64 {
+fn changes_per_s() -> f64 {
     CHANGES_PER_DAY / DAY_S
 }
 
-/// Waits until everybody sees everybody and is told the list; when that was.
+/// Runs until every forwarder sees all others and has a role in the list duty. Returns the virtual time at
+/// which that was so.
 fn settle(cluster: &mut Cluster, spans: &Spans) -> Result<Option<f64>, String> {
-    let all = cluster.running().len();
+    let running_count = cluster.running().len();
     let mut settled = None;
     while cluster.elapsed() < spans.settle_least || settled.is_none() && cluster.elapsed() < spans.settle_most
     {
-        cluster.run(LOOK_EVERY)?;
+        cluster.run(STATUS_INTERVAL)?;
         let readings = cluster.readings()?;
-        let told = |r: &Reading| r.alive == all && (r.owns_list || r.told_list);
+        let has_settled = |r: &Reading| r.alive == running_count && (r.owns_list || r.follows_list_owner);
         let seconds = cluster.elapsed().0 as f64 / 1e6;
-        settled = if readings.iter().all(told) { settled.or(Some(seconds)) } else { None };
+        settled = if readings.iter().all(has_settled) { settled.or(Some(seconds)) } else { None };
     }
     Ok(settled)
 }
 
-fn usage(cluster: &Cluster) -> Result<BTreeMap<Member, Usage>, String> {
+/// The usage of every running forwarder.
+fn usage_by_member(cluster: &Cluster) -> Result<BTreeMap<Member, Usage>, String> {
     Ok(cluster.readings()?.into_iter().map(|reading| (reading.member, reading.usage)).collect())
 }
 
-/// Mean and greatest.
+/// Mean and greatest of some values.
 fn mean_and_worst(values: impl Iterator<Item = f64>) -> (f64, f64) {
     let (mut sum, mut count, mut worst) = (0.0, 0.0, 0.0f64);
     for value in values {
@@ -132,88 +140,93 @@
     if count > 0.0 { (sum / count, worst) } else { (f64::NAN, f64::NAN) }
 }
 
-fn burst(cluster: &mut Cluster) -> Result<(), String> {
+/// Changes the list many times within a second.
+fn run_change_burst(cluster: &mut Cluster) -> Result<(), String> {
     let now = cluster.elapsed();
-    cluster.links.note(now, format!("{BURST_CHANGES} changes within a second"));
+    cluster.links.record_fault(now, format!("{BURST_CHANGES} changes within a second"));
     for _ in 0..BURST_CHANGES {
-        cluster.change();
-        cluster.run(BURST_EVERY)?;
+        cluster.add_endpoint();
+        cluster.run(BURST_INTERVAL)?;
     }
     Ok(())
 }
 
-fn faults(cluster: &mut Cluster, spans: &Spans) -> Result<(), String> {
-    let note = |cluster: &mut Cluster, what: String| {
+/// Goes through all faults one after the other.
+fn run_faults(cluster: &mut Cluster, spans: &Spans) -> Result<(), String> {
+    let record_fault = |cluster: &mut Cluster, description: String| {
         let now = cluster.elapsed();
-        cluster.links.note(now, what);
+        cluster.links.record_fault(now, description);
     };
-    burst(cluster)?;
-    cluster.run_with_changes(spans.fault, per_day())?;
-    let zone = cluster.in_zone(LOST_ZONE);
-    note(cluster, format!("zone {} is lost, {} forwarders", LOST_ZONE.0, zone.len()));
-    cluster.kill(&zone)?;
-    cluster.run_with_changes(spans.fault, per_day())?;
-    note(cluster, "the zone is back".to_owned());
-    cluster.start(&zone)?;
-    cluster.run_with_changes(spans.fault, per_day())?;
-    note(cluster, format!("region {} is cut off", CUT_REGION.0));
-    cluster.partition(CUT_REGION);
-    cluster.run_with_changes(spans.fault, per_day())?;
-    // At least one change must be waited for by those that were cut off.
-    cluster.change();
+    run_change_burst(cluster)?;
+    cluster.run_with_changes(spans.fault, changes_per_s())?;
+    let zone_members = cluster.in_zone(LOST_ZONE);
+    record_fault(cluster, format!("zone {} is lost, {} forwarders", LOST_ZONE.0, zone_members.len()));
+    cluster.kill(&zone_members)?;
+    cluster.run_with_changes(spans.fault, changes_per_s())?;
+    record_fault(cluster, "the zone is back".to_owned());
+    cluster.start(&zone_members)?;
+    cluster.run_with_changes(spans.fault, changes_per_s())?;
+    record_fault(cluster, format!("region {} is cut off", PARTITIONED_REGION.0));
+    cluster.partition(PARTITIONED_REGION);
+    cluster.run_with_changes(spans.fault, changes_per_s())?;
+    // The cut-off forwarders must miss at least one change.
+    cluster.add_endpoint();
     cluster.run(WITHIN_REGION)?;
-    note(cluster, "all regions are joined".to_owned());
+    record_fault(cluster, "all regions are joined".to_owned());
     cluster.heal();
-    cluster.run_with_changes(spans.fault, per_day())?;
-    let count = cluster.members().count().div_ceil(RESTARTED);
-    let restarted = cluster.draw(count);
-    note(cluster, format!("{count} forwarders restart at once"));
+    cluster.run_with_changes(spans.fault, changes_per_s())?;
+    let count = cluster.members().count().div_ceil(RESTARTED_DIVISOR);
+    let restarted = cluster.choose_members(count);
+    record_fault(cluster, format!("{count} forwarders restart at once"));
     cluster.kill(&restarted)?;
-    cluster.run(RESTART)?;
+    cluster.run(RESTART_DOWNTIME)?;
     cluster.start(&restarted)?;
-    cluster.run_with_changes(spans.fault, per_day())?;
-    cluster.run(TAIL)
+    cluster.run_with_changes(spans.fault, changes_per_s())?;
+    cluster.run(FINAL_RUN)
 }
 
-/// Plays one size. `prepare` may do something to the links before the start. Resident memory counts from `before_bytes`.
+/// Runs one size. `prepare` can change the cluster before its start. Resident memory is counted from
+/// `before_bytes`.
 ///
 /// # Errors
-/// A shard has ended, or nothing could be measured.
+/// The thread of a shard has exited, or the resident memory cannot be read.
 pub fn play(
     plan: Plan, spans: &Spans, unpaid: &Unpaid, before_bytes: u64, prepare: impl FnOnce(&mut Cluster),
 ) -> Result<Outcome, String> {
-    let began = Instant::now();
+    let wall_start = Instant::now();
     let forwarders = plan.members;
     let mut cluster = Cluster::new(plan)?;
     prepare(&mut cluster);
-    let all: Vec<Member> = cluster.members().collect();
-    cluster.start(&all)?;
+    let members: Vec<Member> = cluster.members().collect();
+    cluster.start(&members)?;
     let settled_s = settle(&mut cluster, spans)?;
-    let started = usage(&cluster)?;
-    cluster.run_with_changes(spans.steady, per_day())?;
-    let steady = usage(&cluster)?;
-    let resident = resident_bytes().ok_or("no figure of resident memory")?;
+    let usage_at_start = usage_by_member(&cluster)?;
+    cluster.run_with_changes(spans.steady, changes_per_s())?;
+    let usage_at_steady_end = usage_by_member(&cluster)?;
+    let resident_total = resident_bytes().ok_or("no figure of resident memory")?;
     let seconds = spans.steady.secs();
-    let rate = |of: &dyn Fn(&Usage) -> f64| {
-        let used = |m: &Member| of(&steady[m].since(started[m])) / seconds;
-        mean_and_worst(steady.keys().filter(|m| started.contains_key(m)).map(used))
+    let mean_and_worst_per_s = |value_of: &dyn Fn(&Usage) -> f64| {
+        let used = |m: &Member| value_of(&usage_at_steady_end[m].since(usage_at_start[m])) / seconds;
+        mean_and_worst(usage_at_steady_end.keys().filter(|m| usage_at_start.contains_key(m)).map(used))
     };
-    let start = |of: fn(&Usage) -> f64| mean_and_worst(started.values().map(of)).0;
+    let mean_at_start = |value_of: fn(&Usage) -> f64| mean_and_worst(usage_at_start.values().map(value_of)).0;
     let before_faults = cluster.elapsed();
-    faults(&mut cluster, spans)?;
-    let ended = usage(&cluster)?;
+    run_faults(&mut cluster, spans)?;
+    let usage_at_end = usage_by_member(&cluster)?;
     let faults_s = cluster.elapsed().since(before_faults).secs();
-    let faults = |of: &dyn Fn(&Usage) -> f64| {
-        let used = |m: &Member| of(&ended[m].since(steady[m])) / faults_s;
-        mean_and_worst(ended.keys().filter(|m| steady.contains_key(m)).map(used)).1
+    let worst_with_faults = |value_of: &dyn Fn(&Usage) -> f64| {
+        let used = |m: &Member| value_of(&usage_at_end[m].since(usage_at_steady_end[m])) / faults_s;
+        mean_and_worst(usage_at_end.keys().filter(|m| usage_at_steady_end.contains_key(m)).map(used)).1
     };
-    cluster.end();
-    let in_force = cluster.in_force();
-    let worst = in_force.worst();
+    cluster.finish();
+    let change_times = cluster.change_times();
+    let slowest = change_times.slowest();
     let virtual_s = cluster.elapsed().secs();
-    let cpu_s = |seconds: f64| move |u: &Usage| u.cpu_s + unpaid.of(u, seconds);
-    let (cpu, hollow_cpu) = (rate(&cpu_s(seconds)), rate(&|u| u.cpu_s));
-    let (bytes, datagrams) = (rate(&|u| u.bytes() as f64), rate(&|u| u.datagrams as f64));
+    let daemon_cpu_s = |seconds: f64| move |u: &Usage| u.cpu_s + unpaid.of(u, seconds);
+    let (cpu, hollow_cpu) =
+        (mean_and_worst_per_s(&daemon_cpu_s(seconds)), mean_and_worst_per_s(&|u| u.cpu_s));
+    let (bytes, datagrams) =
+        (mean_and_worst_per_s(&|u| u.bytes() as f64), mean_and_worst_per_s(&|u| u.datagrams as f64));
     Ok(Outcome {
         forwarders,
         settled_s,
@@ -225,25 +238,29 @@
         bytes_per_s_worst: bytes.1,
         datagrams_per_s_mean: datagrams.0,
         datagrams_per_s_worst: datagrams.1,
-        wakes_per_s_worst: rate(&|u| u.wakes as f64).1,
-        sent_bytes_per_s_mean: rate(&|u| u.sent_bytes as f64).0,
-        faults_cpu_share_worst: faults(&cpu_s(faults_s)),
-        faults_bytes_per_s_worst: faults(&|u| u.bytes() as f64),
-        start_cpu_s_mean: start(|u| u.cpu_s),
-        start_bytes_mean: start(|u| u.bytes() as f64),
-        mb_each: resident.saturating_sub(before_bytes) as f64 / 1e6 / f64::from(forwarders),
-        changes: in_force.changes(),
-        change_p50_ms: in_force.quantile_ms(0.5),
-        change_p99_ms: in_force.quantile_ms(0.99),
-        change_worst_ms: if in_force.samples() > 0 { worst.took.0 as f64 / 1000.0 } else { f64::NAN },
-        change_worst_at: worst.member.map_or(u16::MAX, |m| m.0),
-        change_worst_unexcused_ms: in_force.unexcused_ms(1.0),
-        change_samples: in_force.samples(),
-        change_missing: in_force.missing(),
+        wakes_per_s_worst: mean_and_worst_per_s(&|u| u.wakes as f64).1,
+        sent_bytes_per_s_mean: mean_and_worst_per_s(&|u| u.sent_bytes as f64).0,
+        faults_cpu_share_worst: worst_with_faults(&daemon_cpu_s(faults_s)),
+        faults_bytes_per_s_worst: worst_with_faults(&|u| u.bytes() as f64),
+        start_cpu_s_mean: mean_at_start(|u| u.cpu_s),
+        start_bytes_mean: mean_at_start(|u| u.bytes() as f64),
+        mb_each: resident_total.saturating_sub(before_bytes) as f64 / 1e6 / f64::from(forwarders),
+        changes: change_times.changes(),
+        change_p50_ms: change_times.quantile_ms(0.5),
+        change_p99_ms: change_times.quantile_ms(0.99),
+        change_worst_ms: if change_times.samples() > 0 {
+            slowest.duration.0 as f64 / 1000.0
+        } else {
+            f64::NAN
+        },
+        change_worst_at: slowest.member.map_or(u16::MAX, |m| m.0),
+        change_worst_unexcused_ms: change_times.since_change_ms(1.0),
+        change_samples: change_times.samples(),
+        change_missing: change_times.missing(),
         discovery_calls_per_s: cluster.discovery_load().0 as f64 / virtual_s,
-        lost: cluster.links.lost(),
+        lost: cluster.links.lost_count(),
         virtual_s,
-        wall_s: began.elapsed().as_secs_f64(),
-        faults: cluster.links.record().to_vec(),
+        wall_s: wall_start.elapsed().as_secs_f64(),
+        faults: cluster.links.fault_records().to_vec(),
     })
 }
--- a/lab/src/scale/room.rs
+++ b/lab/src/scale/room.rs
@@ -1,31 +1,31 @@
-//! Whether an experiment fits on this machine, asked before it starts.
+//! Checks before an experiment starts whether this machine has the resources that it needs.
 
-/// Resident bytes that one forwarder needs for each member of its cluster: measured, and rounded up.
+/// Resident bytes that one forwarder needs for each member of its cluster: a measured value, rounded up.
 const BYTES_PER_MEMBER: u64 = 1_200;
-/// And without any.
+/// Resident bytes that one forwarder needs without any members.
 const BYTES_PER_FORWARDER: u64 = 200_000;
-/// A real daemon of a few dozen.
+/// Resident bytes of a real daemon in a cluster of a few dozen.
 const BYTES_PER_DAEMON: u64 = 16_000_000;
-/// One entry of the list in a directory, and what reads it.
+/// Resident bytes of one list entry in a directory, including what is needed to parse it.
 const BYTES_PER_ENTRY: u64 = 250;
-/// Of the machine's memory an experiment may have one part in so many.
-const MEMORY_PARTS: u64 = 2;
-/// Processes that an experiment may have.
-pub const PROCESSES_MOST: usize = 300;
+/// An experiment may use the machine's memory divided by this number.
+const MEMORY_DIVISOR: u64 = 2;
+/// Number of processes that an experiment may start.
+pub const MAX_PROCESSES: usize = 300;
 
-/// What an experiment needs.
+/// Resources that an experiment needs.
 #[derive(Clone, Copy, Debug)]
 pub struct Needs {
-    /// Hollow forwarders of the largest cluster.
+    /// Number of hollow forwarders in the largest cluster.
     pub forwarders: u16,
-    /// Real daemons at once.
+    /// Number of real daemons that run at the same time.
     pub daemons: usize,
-    /// Entries of the longest list.
+    /// Number of entries of the longest list.
     pub listed: u64,
 }
 
 impl Needs {
-    /// Bytes of memory.
+    /// Memory that is needed, in bytes.
     #[must_use]
     pub fn bytes(&self) -> u64 {
         let forwarders = u64::from(self.forwarders);
@@ -34,15 +34,15 @@
     }
 }
 
-/// Whether there is room on a machine with so much memory.
+/// Checks the needs against the limits for a machine with this memory.
 ///
 /// # Errors
-/// One line that says what is too much.
+/// One line that names the resource that is exceeded.
 pub fn check_room(needs: &Needs, machine_bytes: u64) -> Result<(), String> {
-    if needs.daemons > PROCESSES_MOST {
-        return Err(format!("{} processes are needed, {PROCESSES_MOST} are allowed", needs.daemons));
+    if needs.daemons > MAX_PROCESSES {
+        return Err(format!("{} processes are needed, {MAX_PROCESSES} are allowed", needs.daemons));
     }
-    let (needed, allowed) = (needs.bytes(), machine_bytes / MEMORY_PARTS);
+    let (needed, allowed) = (needs.bytes(), machine_bytes / MEMORY_DIVISOR);
     if needed > allowed {
         let mb = |bytes: u64| bytes / 1_000_000;
         let forwarders = needs.forwarders;
--- a/lab/src/scale/shard.rs
+++ b/lab/src/scale/shard.rs
@@ -1,10 +1,10 @@
 //! Many forwarders on one thread.
 //!
-//! A shard runs on its own until a time before which nothing that others send meanwhile can arrive, and then waits for
-//! the cluster. Its forwarders never leave its thread.
+//! A shard runs without the others until a time before which nothing that the others send meanwhile can
+//! arrive. Then it waits for the cluster. Its forwarders never leave its thread.
 
-use super::forwarder::{Forwarder, Input, Results, Sent, Setup};
-use super::in_force::Adopted;
+use super::change_times::Adoption;
+use super::forwarder::{ClusterSettings, Forwarder, Input, Outbound, StepResults};
 use super::links::Node;
 use super::meter::{Reading, Usage, thread_cpu_s};
 use async_channel::{Receiver, Sender, bounded};
@@ -16,137 +16,138 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Timers of a system come late by some of this; a forwarder is not woken again sooner.
-const TIMER_STEP: Micros = Micros(200);
+/// Timers of an operating system fire late by some of this time; a forwarder is not woken again sooner.
+const TIMER_RESOLUTION: Micros = Micros(200);
 
-/// Something that arrives at a forwarder.
+/// An input that arrives at a forwarder.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// When.
+    /// Time of the arrival.
     pub at: Micros,
-    /// Where.
+    /// The forwarder at which the input arrives.
     pub to: Member,
-    /// Orders what arrives at one moment.
+    /// Sender and number of the input, which order the inputs that arrive at the same time.
     pub order: (Node, u64),
-    /// What.
+    /// The input.
     pub input: Input,
 }
 
-/// Something that leaves a forwarder.
+/// Something that a forwarder sends.
 #[derive(Clone, Debug)]
 pub struct Departure {
-    /// When.
+    /// Time of the departure.
     pub at: Micros,
-    /// Whence.
+    /// The forwarder that sends it.
     pub from: Member,
-    /// Orders what leaves one forwarder.
+    /// Number of the departure among those of the forwarder.
     pub number: u64,
-    /// What.
-    pub sent: Sent,
+    /// The outbound datagram or call.
+    pub outbound: Outbound,
 }
 
-/// From the cluster.
+/// A command of the cluster to a shard.
 #[derive(Debug)]
 pub enum Command {
-    /// Run up to a time, and take what arrives.
+    /// Run up to a time, with these arrivals.
     Run(Micros, Vec<Arrival>),
-    /// Processes start.
+    /// Start processes at a time.
     Start(Micros, Vec<Member>),
-    /// Processes are killed.
+    /// Kill processes.
     Kill(Vec<Member>),
-    /// How are the forwarders?
+    /// Report the readings of all running forwarders.
     Read,
 }
 
-/// To the cluster.
+/// The reply of a shard to a command.
 #[derive(Debug)]
 pub enum Reply {
-    /// All up to that time is done.
+    /// The shard has run, or has started or killed the processes.
     Ran {
-        /// What left.
+        /// What the forwarders sent.
         departures: Vec<Departure>,
-        /// What came into force.
-        adopted: Vec<Adopted>,
-        /// When the next timer is due.
-        next: Micros,
+        /// Lists that came into force.
+        adoptions: Vec<Adoption>,
+        /// Time of the next event.
+        next_event_at: Micros,
     },
-    /// Of every forwarder that runs.
+    /// Readings of all running forwarders.
     Readings(Vec<Reading>),
 }
 
-/// The cluster's end of a shard.
+/// The cluster's handle to a shard.
 #[derive(Debug)]
-pub struct Handle {
+pub struct ShardHandle {
     commands: Sender<Command>,
     replies: Receiver<Reply>,
 }
 
-impl Handle {
-    /// Starts the thread of a shard without forwarders. It ends with the handle.
+impl ShardHandle {
+    /// Starts the thread of a shard without forwarders. The thread exits when the handle is dropped.
     #[must_use]
-    pub fn spawn(setup: Arc<Setup>) -> Handle {
+    pub fn spawn(settings: Arc<ClusterSettings>) -> ShardHandle {
         let ((commands, inbox), (outbox, replies)) = (bounded(1), bounded(1));
-        std::thread::spawn(move || Shard::new(setup).run(&inbox, &outbox));
-        Handle { commands, replies }
+        std::thread::spawn(move || Shard::new(settings).run(&inbox, &outbox));
+        ShardHandle { commands, replies }
     }
 
-    /// Gives a command.
+    /// Sends a command to the shard.
     ///
     /// # Errors
-    /// The thread has ended.
-    pub fn tell(&self, command: Command) -> Result<(), String> {
-        self.commands.send_blocking(command).map_err(|_| "a shard has ended".to_owned())
+    /// The thread of the shard has exited.
+    pub fn send_command(&self, command: Command) -> Result<(), String> {
+        self.commands.send_blocking(command).map_err(|_| "the thread of a shard has exited early".to_owned())
     }
 
-    /// Waits for the reply to a command.
+    /// Waits for the shard's reply to a command.
     ///
     /// # Errors
-    /// The thread has ended.
-    pub fn reply(&self) -> Result<Reply, String> {
-        self.replies.recv_blocking().map_err(|_| "a shard has ended".to_owned())
+    /// The thread of the shard has exited.
+    pub fn receive_reply(&self) -> Result<Reply, String> {
+        self.replies.recv_blocking().map_err(|_| "the thread of a shard has exited early".to_owned())
     }
 }
 
-/// What outlives a forwarder's process.
+/// State of a member that outlives its processes.
 #[derive(Clone, Default)]
-struct Kept {
-    epoch: Rc<Cell<Epoch>>,
-    lives: u64,
+struct StoredState {
+    voter_epoch: Rc<Cell<Epoch>>,
+    start_count: u64,
     usage: Usage,
     departures: u64,
 }
 
+/// An arrival or a timer of a forwarder, ordered by time.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Event {
     at: Micros,
     to: Member,
-    /// Timers come first of what happens at one moment.
+    /// None for a timer: timers come before the arrivals of the same time.
     order: Option<(Node, u64)>,
 }
 
 struct Shard {
-    setup: Arc<Setup>,
+    settings: Arc<ClusterSettings>,
     forwarders: BTreeMap<Member, Forwarder>,
-    kept: BTreeMap<Member, Kept>,
+    stored: BTreeMap<Member, StoredState>,
     events: BinaryHeap<Reverse<Event>>,
     arrivals: BTreeMap<(Member, Node, u64), Input>,
-    /// The one timer of each forwarder that holds.
+    /// The time for which each forwarder's timer is set; earlier settings in `events` are ignored.
     timers: BTreeMap<Member, Micros>,
     departures: Vec<Departure>,
-    adopted: Vec<Adopted>,
+    adoptions: Vec<Adoption>,
 }
 
 impl Shard {
-    fn new(setup: Arc<Setup>) -> Shard {
+    fn new(settings: Arc<ClusterSettings>) -> Shard {
         Shard {
-            setup,
+            settings,
             forwarders: BTreeMap::new(),
-            kept: BTreeMap::new(),
+            stored: BTreeMap::new(),
             events: BinaryHeap::new(),
             arrivals: BTreeMap::new(),
             timers: BTreeMap::new(),
             departures: Vec::new(),
-            adopted: Vec::new(),
+            adoptions: Vec::new(),
         }
     }
 
@@ -154,17 +155,17 @@
         while let Ok(command) = inbox.recv_blocking() {
             let reply = match command {
                 Command::Run(until, arrivals) => {
-                    arrivals.into_iter().for_each(|arrival| self.arrive(arrival));
+                    arrivals.into_iter().for_each(|arrival| self.schedule_arrival(arrival));
                     self.run_until(until);
-                    self.ran()
+                    self.run_reply()
                 }
                 Command::Start(now, members) => {
                     members.into_iter().for_each(|member| self.start(now, member));
-                    self.ran()
+                    self.run_reply()
                 }
                 Command::Kill(members) => {
                     members.into_iter().for_each(|member| self.kill(member));
-                    self.ran()
+                    self.run_reply()
                 }
                 Command::Read => Reply::Readings(self.forwarders.values().map(Forwarder::reading).collect()),
             };
@@ -174,39 +175,42 @@
         }
     }
 
-    fn ran(&mut self) -> Reply {
-        let next = self.events.peek().map_or(Micros(u64::MAX), |Reverse(event)| event.at);
-        let (departures, adopted) = (std::mem::take(&mut self.departures), std::mem::take(&mut self.adopted));
-        Reply::Ran { departures, adopted, next }
+    /// The reply to a command that ran, started or killed forwarders.
+    fn run_reply(&mut self) -> Reply {
+        let next_event_at = self.events.peek().map_or(Micros(u64::MAX), |Reverse(event)| event.at);
+        let (departures, adoptions) =
+            (std::mem::take(&mut self.departures), std::mem::take(&mut self.adoptions));
+        Reply::Ran { departures, adoptions, next_event_at }
     }
 
-    fn arrive(&mut self, arrival: Arrival) {
+    /// Adds an arrival to the events.
+    fn schedule_arrival(&mut self, arrival: Arrival) {
         let Arrival { at, to, order, input } = arrival;
         self.arrivals.insert((to, order.0, order.1), input);
         self.events.push(Reverse(Event { at, to, order: Some(order) }));
     }
 
     fn start(&mut self, now: Micros, member: Member) {
-        let kept = self.kept.entry(member).or_default();
-        kept.lives += 1;
-        let (life, epoch) = (kept.lives, kept.epoch.clone());
-        let mut forwarder = Forwarder::start(&self.setup, member, life, epoch, now);
-        forwarder.add_usage(kept.usage);
+        let stored = self.stored.entry(member).or_default();
+        stored.start_count += 1;
+        let (start_number, voter_epoch) = (stored.start_count, stored.voter_epoch.clone());
+        let mut forwarder = Forwarder::start(&self.settings, member, start_number, voter_epoch, now);
+        forwarder.set_usage(stored.usage);
         self.forwarders.insert(member, forwarder);
-        self.arm(now, member);
+        self.set_timer(now, member);
     }
 
     fn kill(&mut self, member: Member) {
         let Some(forwarder) = self.forwarders.remove(&member) else { return };
         self.timers.remove(&member);
-        self.kept.entry(member).or_default().usage = forwarder.reading().usage;
+        self.stored.entry(member).or_default().usage = forwarder.reading().usage;
     }
 
-    /// Sets the timer of a forwarder, unless the one that is set is early enough.
-    fn arm(&mut self, now: Micros, member: Member) {
+    /// Sets the timer of a forwarder, unless it is set for that time already.
+    fn set_timer(&mut self, now: Micros, member: Member) {
         let Some(forwarder) = self.forwarders.get(&member) else { return };
-        let due = forwarder.due().max(now.plus(TIMER_STEP));
-        if self.timers.get(&member).is_some_and(|set| *set == due) {
+        let due = forwarder.due().max(now.plus(TIMER_RESOLUTION));
+        if self.timers.get(&member).is_some_and(|set_for| *set_for == due) {
             return;
         }
         self.timers.insert(member, due);
@@ -218,28 +222,29 @@
             && event.at < until
         {
             let Some(Reverse(event)) = self.events.pop() else { return };
-            self.happen(event);
+            self.process_event(event);
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    /// Hands an event to its forwarder, and collects the results.
+    fn process_event(&mut self, event: Event) {
         let Event { at, to, order } = event;
         let input = match order {
             Some((node, number)) => self.arrivals.remove(&(to, node, number)),
-            // One that was set anew meanwhile does not hold.
-            None => self.timers.get(&to).is_some_and(|set| *set == at).then_some(Input::Timer),
+            // A timer that was set anew in the meantime is ignored.
+            None => self.timers.get(&to).is_some_and(|set_for| *set_for == at).then_some(Input::Timer),
         };
         let (Some(input), Some(forwarder)) = (input, self.forwarders.get_mut(&to)) else { return };
-        let mut results = Results::default();
+        let mut results = StepResults::default();
         let before = thread_cpu_s();
         forwarder.step(at, input, &mut results);
         forwarder.add_cpu(thread_cpu_s() - before);
-        let kept = self.kept.entry(to).or_default();
-        for sent in results.sent {
-            kept.departures += 1;
-            self.departures.push(Departure { at, from: to, number: kept.departures, sent });
+        let stored = self.stored.entry(to).or_default();
+        for outbound in results.outbound {
+            stored.departures += 1;
+            self.departures.push(Departure { at, from: to, number: stored.departures, outbound });
         }
-        self.adopted.extend(results.adopted);
-        self.arm(at, to);
+        self.adoptions.extend(results.adoptions);
+        self.set_timer(at, to);
     }
 }
