--- a/lab/src/scale/forwarder.rs
+++ b/lab/src/scale/forwarder.rs
@@ -129,7 +129,7 @@
     Directory::new(DirectorySettings {
         max_endpoints: MAX_LISTED_ENDPOINTS,
         deactivate_after: None,
-        health_decay: health_decay,
+        health_decay,
         zones,
     })
 }
--- a/lab/src/soak/clients.rs
+++ b/lab/src/soak/clients.rs
@@ -31,6 +31,7 @@
 const CLASSES: [(Class, &str, f64); 3] =
     [(Class::Safe, "status", 3.0), (Class::Keyed, "booking", 5.0), (Class::Unsafe, "payment", 5.0)];
 
+/// The clients of one daemon.
 pub struct Clients {
     daemon: usize,
     /// The daemon's address; none while the daemon is down.
@@ -78,6 +79,7 @@
         self.rng.borrow_mut().random_range(f64::MIN_POSITIVE..1.0)
     }
 
+    /// Submits messages at random intervals until `stopped` is set.
     async fn run(self: Rc<Self>, messages_per_s: f64) {
         let mut due = self.runtime.now();
         for number in 0.. {
@@ -218,6 +220,7 @@
         }
     }
 
+    /// Waits for the answer to a request.
     async fn read_answer(&self, stream: &mut Async<TcpStream>) -> ClientResult {
         let answer = async {
             let mut bytes = [0; 512];
--- a/lab/src/soak/discovery.rs
+++ b/lab/src/soak/discovery.rs
@@ -55,6 +55,7 @@
 /// A refusal after the wait in the queue counts for three.
 const QUEUE_TIMEOUT_COST: u32 = 3;
 
+/// An entry of the endpoint list.
 struct Entry {
     server: Rc<Server>,
     name: String,
@@ -63,6 +64,7 @@
     generation: u64,
 }
 
+/// The endpoint list, and the mode in which calls for it are treated.
 pub struct Discovery {
     entries: RefCell<Vec<Entry>>,
     pub generation: Cell<u64>,
@@ -84,6 +86,7 @@
 }
 
 impl Discovery {
+    /// Creates a discovery that lists these servers as ready.
     pub fn new(runtime: &Runtime, log: &ObservationLog, servers: &[Rc<Server>], seed: u64) -> Rc<Discovery> {
         let entry = |server: &Rc<Server>| Entry {
             server: server.clone(),
@@ -180,6 +183,7 @@
         self.last_sent_list.borrow().get(&daemon).is_some_and(contains_server)
     }
 
+    /// Serves one connection of a daemon.
     async fn serve(
         self: Rc<Discovery>, daemon: usize, open: Rc<Cell<bool>>, mut connection: ServerConnection,
     ) {
@@ -196,6 +200,7 @@
         }
     }
 
+    /// Records the messages of which a request reports the outcome, one JSON object a line.
     fn receive_notices(&self, request: &Request) {
         let now = self.runtime.now();
         for line in String::from_utf8_lossy(&request.body).lines() {
--- a/lab/src/soak/environment.rs
+++ b/lab/src/soak/environment.rs
@@ -95,6 +95,7 @@
         self.nodes[index].settings_change_active.set(false);
     }
 
+    /// Adds and removes the class. Does not remove it if the run has ended in the meantime.
     async fn add_and_drop_class(&self, index: usize, duration_s: f64) {
         let clients = &self.nodes[index].clients;
         if !self.reload_settings(index, true).await {
--- a/lab/src/soak/faults.rs
+++ b/lab/src/soak/faults.rs
@@ -24,6 +24,7 @@
         }
     }
 
+    /// The name of the fault in reports.
     pub fn name(self) -> &'static str {
         match self {
             DiskFailure::NoSpace => "disk_no_space",
@@ -165,6 +166,7 @@
 /// Steps of the wall clock, in seconds.
 const CLOCK_STEPS_S: [i64; 4] = [-3600, -7, 7, 3600];
 
+/// Chooses the target and the parameters of a fault of one kind.
 fn fault(kind: usize, run_size: RunSize, rng: &mut StdRng) -> Fault {
     let daemon = rng.random_range(0..run_size.daemons);
     let server = rng.random_range(0..run_size.servers);
--- a/lab/src/soak/judge.rs
+++ b/lab/src/soak/judge.rs
@@ -49,6 +49,7 @@
         self.lines.push(format!("{rule}: {line}"));
     }
 
+    /// Number of violations of a rule.
     pub fn count(&self, rule: &str) -> u64 {
         self.counts.get(rule).copied().unwrap_or(0)
     }
@@ -65,6 +66,7 @@
     verdict
 }
 
+/// Total tolerance of the judgement.
 fn slack(parameters: JudgeParameters) -> f64 {
     SLACK_S + parameters.lateness_s
 }
@@ -112,6 +114,7 @@
     starts.filter(|exited_at| *exited_at <= at).fold(0.0, f64::max)
 }
 
+/// Rule "drain": no call to a server after the grace period that follows its drain.
 fn judge_drains(observations: &Observations, parameters: JudgeParameters, verdict: &mut Verdict) {
     for drain in &observations.drains {
         for call in observations.calls.iter().filter(|c| c.server == drain.server && c.started_at > drain.at)
@@ -127,6 +130,8 @@
     }
 }
 
+/// Rules "duplicate" and "overlap": a message takes effect as often as its class allows, and has one open
+/// call at a time.
 fn judge_repeats(observations: &Observations, parameters: JudgeParameters, verdict: &mut Verdict) {
     let mut by_id: BTreeMap<&str, Vec<&Call>> = BTreeMap::new();
     observations.calls.iter().for_each(|c| by_id.entry(&c.id).or_default().push(c));
@@ -167,6 +172,8 @@
     })
 }
 
+/// Rules "maintenance", "operators" and "settings": no call to a server in maintenance, and no errors of
+/// operators' commands or of settings.
 fn judge_maintenance(observations: &Observations, parameters: JudgeParameters, verdict: &mut Verdict) {
     for maintenance in &observations.maintenance {
         let from = maintenance.from + DRAIN_GRACE_S + slack(parameters);
@@ -189,6 +196,7 @@
     }
 }
 
+/// Rules "lost" and "unanswered": each accepted message has an outcome in time, and each request is answered.
 fn judge_outcomes(observations: &Observations, parameters: JudgeParameters, verdict: &mut Verdict) {
     let mut delivered: BTreeMap<&str, f64> = BTreeMap::new();
     for call in observations.calls.iter().filter(|c| c.status == Some(200)) {
@@ -286,6 +294,7 @@
     kills.into_iter().any(|killed_at| (killed_at - SLACK_S..=killed_at).contains(&retry_after.sent_at))
 }
 
+/// Rule "wait": no call to a destination within a Retry-After of one of its servers.
 fn judge_retry_afters(observations: &Observations, parameters: JudgeParameters, verdict: &mut Verdict) {
     let destinations: BTreeMap<&str, u64> =
         observations.retry_afters.iter().map(|w| (w.server.as_str(), w.destination)).collect();
--- a/lab/src/soak/observations.rs
+++ b/lab/src/soak/observations.rs
@@ -110,6 +110,7 @@
     pub until: f64,
 }
 
+/// All observations of a run.
 #[derive(Debug, Default)]
 pub struct Observations {
     pub messages: BTreeMap<String, Message>,
@@ -142,6 +143,7 @@
 pub struct ObservationLog(Rc<RefCell<Observations>>);
 
 impl ObservationLog {
+    /// Calls a function with the observations.
     pub fn with<T>(&self, change: impl FnOnce(&mut Observations) -> T) -> T {
         change(&mut self.0.borrow_mut())
     }
--- a/lab/src/soak/operators.rs
+++ b/lab/src/soak/operators.rs
@@ -20,6 +20,7 @@
 const PARTIAL_COMMAND_OPEN_S: f64 = 4.0;
 
 impl Run {
+    /// Puts a server into maintenance at a daemon, unless the server is in maintenance there already.
     pub(super) async fn maintenance(&self, index: usize, server: usize, duration_s: f64) {
         let server_name = self.servers.borrow()[server].name.clone();
         // The daemon rejects the name of a server that is not on the last list it received.
@@ -34,6 +35,7 @@
         in_maintenance.borrow_mut().remove(&server_name);
     }
 
+    /// Begins the maintenance, restarts the server, and ends the maintenance.
     async fn run_maintenance(&self, index: usize, server: usize, server_name: &str, duration_s: f64) {
         if !self.send_command(index, "maint-on nobody", "400").await {
             return;
@@ -94,6 +96,7 @@
         answer.starts_with(expected_status)
     }
 
+    /// Sends the begin of a command, and leaves the connection open for a while.
     async fn send_partial_command(&self, index: usize) {
         if let Some(address) =
             self.with_running(index, |d| d.operator_address(ProcessChoice::Newest)).flatten()
@@ -106,6 +109,7 @@
         }
     }
 
+    /// Records a wrong or missing answer to a command.
     fn record_error(&self, error: String) {
         self.log.with(|observations| observations.operator_errors.push(error));
     }
--- a/lab/src/soak/processes.rs
+++ b/lab/src/soak/processes.rs
@@ -26,6 +26,7 @@
         self.nodes[index].process_change_active.set(false);
     }
 
+    /// Kills a daemon's process, and starts the daemon again.
     pub(super) async fn kill(&self, index: usize) {
         if !self.begin_process_change(index) {
             return;
@@ -99,6 +100,7 @@
         self.end_process_change(index);
     }
 
+    /// Starts the second process of an upgrade, and continues as the scenario says.
     async fn start_second_process(&self, index: usize, mut daemon: Daemon, scenario: UpgradeScenario) {
         let started_at = self.runtime.now();
         let upgrade_index = self.log.with(|observations| {
@@ -152,11 +154,13 @@
         .await;
     }
 
+    /// Records that one of the processes of an upgrade was killed.
     fn record_kill(&self, upgrade: usize) {
         let now = self.runtime.now();
         self.log.with(|observations| observations.upgrades[upgrade].killed_at = Some(now));
     }
 
+    /// Sends a series of SIGHUPs to a daemon.
     pub(super) async fn send_sighups(&self, index: usize, count: u32) {
         for _ in 0..count {
             if self.with_running(index, |d| d.send_sighup()).is_none() {
@@ -168,6 +172,7 @@
     }
 }
 
+/// Whether a process answers a status command at its operator address.
 async fn reports_ready(operator_address: Option<std::net::SocketAddr>) -> bool {
     let Some(at) = operator_address else { return false };
     send_operator_command(at, "status").await.is_some_and(|answer| answer.starts_with("200"))
--- a/lab/src/soak/run.rs
+++ b/lab/src/soak/run.rs
@@ -72,6 +72,7 @@
     pub(super) in_maintenance: RefCell<BTreeSet<String>>,
 }
 
+/// The daemons and stand-ins of a run, and what has been observed of them.
 pub(super) struct Run {
     pub(super) runtime: Runtime,
     pub(super) log: ObservationLog,
@@ -104,6 +105,7 @@
 }
 
 impl Run {
+    /// Starts all stand-ins and daemons, and waits until the daemons are ready.
     async fn start(setup: &ExperimentContext, soak: &Soak) -> Result<Run, String> {
         let (runtime, log) = (setup.runtime.clone(), ObservationLog::default());
         let mut servers = Vec::new();
--- a/lab/src/soak/server.rs
+++ b/lab/src/soak/server.rs
@@ -61,6 +61,7 @@
 /// A connection is closed after this idle time.
 const IDLE_S: f64 = 5.0;
 
+/// One server, and the mode in which it treats calls.
 pub struct Server {
     pub name: String,
     pub destination: u64,
@@ -71,6 +72,7 @@
 }
 
 impl Server {
+    /// Opens an address, and serves connections to it.
     pub fn start(
         runtime: &Runtime, log: &ObservationLog, name: &str, destination: u64,
     ) -> Result<Rc<Server>, String> {
@@ -93,6 +95,7 @@
         Ok(server)
     }
 
+    /// Serves one connection.
     async fn serve(self: Rc<Server>, mut connection: ServerConnection) {
         loop {
             match self.mode.get() {
