--- a/lab/src/soak/environment.rs
+++ b/lab/src/soak/environment.rs
@@ -18,7 +18,7 @@
 const SERVER_REMOVED_AFTER_S: f64 = 3.0;
 
 impl Run {
-    /// Stops a daemon's process for a while, without its knowledge.
+    /// Suspends a daemon's process for a while.
     pub(super) async fn stall(&self, index: usize, duration_s: f64) {
         if self.with_running(index, |d| d.pause()).is_some() {
             self.log.record_fault_hit("daemon_stalled");
--- a/lab/src/soak/faults.rs
+++ b/lab/src/soak/faults.rs
@@ -63,7 +63,7 @@
     SettingsChange { daemon: usize },
     /// Clients connect and send nothing, or half a request.
     ConnectionFlood { daemon: usize, connections: usize },
-    /// The daemon's process is stopped for a moment.
+    /// The daemon's process is suspended for a moment.
     Stall { daemon: usize },
     /// The daemon gets new configurations in quick succession, each with another address of discovery.
     DiscoveryMoves { daemon: usize, count: usize },
@@ -131,7 +131,7 @@
 const DURATION_S: std::ops::Range<f64> = 0.5..5.0;
 /// The longest time for which system calls fail for lack of descriptors.
 const MAX_DESCRIPTOR_EXHAUSTION_S: f64 = 0.3;
-/// The longest stop of a process. A forwarder tolerates this delay between reading its clock and writing.
+/// The longest suspension of a process. A forwarder tolerates this delay between reading its clock and writing.
 const MAX_STALL_S: f64 = 0.12;
 
 /// Generates the faults of a run: first each kind once, in random order, then random kinds.
