--- a/lab/src/capacity/mod.rs
+++ b/lab/src/capacity/mod.rs
@@ -24,7 +24,7 @@
 
 /// Arguments of the `capacity` command.
 #[derive(Clone, Debug, Default)]
-pub struct Request {
+pub struct CapacityArgs {
     /// The folder with the reports.
     pub reports: PathBuf,
     /// The page whose table is compared with the table computed from the reports.
@@ -32,7 +32,7 @@
     /// The page whose table is replaced by the table computed from the reports.
     pub write: Option<PathBuf>,
     /// Senders of each destination in the second deployment, instead of [`DEFAULT_SENDERS_PER_DESTINATION`].
-    pub owners: Option<f64>,
+    pub senders_per_destination: Option<f64>,
 }
 
 /// Computes the table, and prints it, compares it with a page or writes it into one. Returns false if the
@@ -40,10 +40,10 @@
 ///
 /// # Errors
 /// One line: a report or the page cannot be used.
-pub fn run(request: &Request) -> Result<bool, String> {
+pub fn run(request: &CapacityArgs) -> Result<bool, String> {
     let reports = Reports::read(&request.reports)?;
     let unpartitioned = Deployment::unpartitioned(TWO_YEAR_SIZE);
-    let senders_per_destination = request.owners.unwrap_or(DEFAULT_SENDERS_PER_DESTINATION);
+    let senders_per_destination = request.senders_per_destination.unwrap_or(DEFAULT_SENDERS_PER_DESTINATION);
     let partitioned = Deployment::partitioned(TWO_YEAR_SIZE, senders_per_destination)?;
     let table = render(&reports, &unpartitioned, &partitioned);
     if let Some(page) = &request.write {
--- a/lab/src/experiments/scale.rs
+++ b/lab/src/experiments/scale.rs
@@ -7,9 +7,9 @@
 use crate::report::{Claim, Report};
 use crate::scale::cluster::{Cluster as SimulatedCluster, Plan as SimulatedPlan};
 use crate::scale::links::Links;
-use crate::scale::meter::{Unpaid, machine_bytes, resident_bytes};
-use crate::scale::play::{CHANGES_PER_DAY, Outcome, Spans, links, play};
-use crate::scale::room::{Needs, check_room};
+use crate::scale::meter::{UnsimulatedCost, machine_bytes, resident_bytes};
+use crate::scale::play::{CHANGES_PER_DAY, Outcome, ScenarioTimes, link_delays_json, run_scenario};
+use crate::scale::room::{ResourceNeeds, check_resources};
 use crate::scale::{listing, placement};
 use crate::testbed::partner::CapacityModel;
 use crate::testbed::sleep;
@@ -79,8 +79,12 @@
     Micros(seconds * 1_000_000)
 }
 
-const SPANS: Spans =
-    Spans { settle_most: seconds(120), settle_least: seconds(40), steady: seconds(20), fault: seconds(20) };
+const SPANS: ScenarioTimes = ScenarioTimes {
+    max_settle_time: seconds(120),
+    min_settle_time: seconds(40),
+    steady_time: seconds(20),
+    time_after_fault: seconds(20),
+};
 
 /// What one forwarder uses a second.
 #[derive(Clone, Copy, Debug, Serialize)]
@@ -151,18 +155,18 @@
 
 /// Runs as many simulated forwarders for the same time. Returns the cost of each.
 fn measure_simulated(
-    context: &ExperimentContext, parameters: &Parameters, unsimulated_cost: &Unpaid,
+    context: &ExperimentContext, parameters: &Parameters, unsimulated_cost: &UnsimulatedCost,
 ) -> Result<Cost, String> {
     let plan = SimulatedPlan {
         members: parameters.daemons as u16,
         voters: VOTERS,
-        lease: COMPARISON_LEASE,
-        listed: COMPARISON_PARTNERS,
+        lease_duration: COMPARISON_LEASE,
+        listed_endpoints: COMPARISON_PARTNERS,
         seed: context.seed,
         threads: 1,
     };
     let mut cluster = SimulatedCluster::new(plan)?;
-    cluster.links = Links::near();
+    cluster.links = Links::within_one_zone();
     let members: Vec<_> = cluster.members().collect();
     cluster.start(&members)?;
     let (settle_s, span_s) = parameters.comparison_spans_s;
@@ -174,7 +178,7 @@
         let used = after.usage.since(before.usage);
         wakes += used.wakes as f64;
         sent_bytes += used.sent_bytes as f64;
-        cpu_s += used.cpu_s + unsimulated_cost.of(&used, span_s);
+        cpu_s += used.cpu_s + unsimulated_cost.cpu_s_for(&used, span_s);
     }
     let forwarder_seconds = f64::from(parameters.daemons as u16) * span_s;
     Ok(Cost {
@@ -253,17 +257,17 @@
 pub async fn run(context: &ExperimentContext) -> Result<Report, String> {
     let parameters = if context.short { SHORT_PARAMETERS } else { FULL_PARAMETERS };
     let largest = parameters.sizes.iter().copied().max().unwrap_or(0);
-    let needs = Needs {
+    let needs = ResourceNeeds {
         forwarders: largest,
         daemons: parameters.daemons + DAEMONS_WITHOUT_DUTIES,
-        listed: parameters.listed_endpoints,
+        listed_endpoints: parameters.listed_endpoints,
     };
-    check_room(&needs, machine_bytes().ok_or("cannot read the machine's memory from /proc/meminfo")?)?;
-    let unsimulated_cost = Unpaid::measure()?;
+    check_resources(&needs, machine_bytes().ok_or("cannot read the machine's memory from /proc/meminfo")?)?;
+    let unsimulated_cost = UnsimulatedCost::measure()?;
     let (real, real_mb) = measure_daemons(context, &parameters).await?;
     let simulated = measure_simulated(context, &parameters, &unsimulated_cost)?;
     context.log_progress(&format!("{} real daemons: {real:?}, simulated: {simulated:?}", parameters.daemons));
-    let list = listing::hold(parameters.listed_endpoints)?;
+    let list = listing::measure_list_memory(parameters.listed_endpoints)?;
     context.log_progress(&format!("{} endpoints listed: {:.1} MB", parameters.listed_endpoints, list.mb));
     let resident_before = resident_bytes().ok_or("cannot read this process's resident memory")?;
     let mut outcomes = Vec::new();
@@ -272,12 +276,12 @@
         let plan = SimulatedPlan {
             members,
             voters: VOTERS,
-            lease: LEASE,
-            listed: LISTED_ENDPOINTS,
+            lease_duration: LEASE,
+            listed_endpoints: LISTED_ENDPOINTS,
             seed: context.seed,
             threads,
         };
-        let outcome = play(plan, &SPANS, &unsimulated_cost, resident_before, |_| {})?;
+        let outcome = run_scenario(plan, &SPANS, &unsimulated_cost, resident_before, |_| {})?;
         context.log_progress(&format!("{members} simulated forwarders: took {:.1} s", outcome.wall_s));
         outcomes.push(outcome);
     }
@@ -306,7 +310,8 @@
         "unpaid": unsimulated_cost, "bytes_ratio": bytes_ratio, "cpu_ratio": cpu_ratio});
     let list = json!({"entries": parameters.listed_endpoints,
         "listed": list.directory.listed_endpoint_count(), "mb": list.mb});
-    let placement = json!({"regions": placement::REGIONS, "zones": placement::ZONES, "links": links()});
+    let placement =
+        json!({"regions": placement::REGIONS, "zones": placement::ZONES, "links": link_delays_json()});
     let figures = json!({"seed": context.seed, "claims_by_size": by_size, "parts": model_parts(),
         "agreement": agreement, "list": list, "placement": placement, "changes_per_day": CHANGES_PER_DAY,
         "sizes": outcomes});
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -25,11 +25,11 @@
     short: bool,
     seed: u64,
     /// The arguments of `capacity`.
-    capacity: capacity::Request,
+    capacity: capacity::CapacityArgs,
 }
 
 fn parse_arguments(mut args: lexopt::Parser) -> Result<Arguments, String> {
-    let capacity = capacity::Request::default();
+    let capacity = capacity::CapacityArgs::default();
     let mut arguments =
         Arguments { positional: Vec::new(), out: None, daemon: None, short: false, seed: 7, capacity };
     while let Some(arg) = args.next().map_err(|e| e.to_string())? {
@@ -48,7 +48,7 @@
             Long("owners") => {
                 let text = args.value().map_err(|e| e.to_string())?;
                 let parsed = text.to_string_lossy().parse();
-                arguments.capacity.owners =
+                arguments.capacity.senders_per_destination =
                     Some(parsed.map_err(|_| format!("--owners must be a number: {text:?}"))?);
             }
             Long("help") | Short('h') => arguments.positional = vec!["help".into()],
--- a/lab/src/scale/cluster.rs
+++ b/lab/src/scale/cluster.rs
@@ -30,9 +30,9 @@
     /// Number of members that are voters for leases.
     pub voters: usize,
     /// Duration of a lease.
-    pub lease: Micros,
+    pub lease_duration: Micros,
     /// Number of endpoints on the list that all forwarders start with.
-    pub listed: u64,
+    pub listed_endpoints: u64,
     /// Seed of all random numbers.
     pub seed: u64,
     /// Number of threads that run forwarders.
@@ -71,12 +71,12 @@
     let unused_address = ([127, 0, 0, 1], 9).into();
     let named_member = |index| NamedMember { name: format!("n{}", index + 1), address: unused_address };
     let keys = Keys::new(1, [Key { id: 1, secret: [0x5a; 32] }]).map_err(|e| format!("{e:?}"))?;
-    let probe_timeout = Micros((plan.lease.0 * 2 / 5).min(1_000_000));
+    let probe_timeout = Micros((plan.lease_duration.0 * 2 / 5).min(1_000_000));
     Ok(DutySettings {
         listen: unused_address,
         members: (0..plan.members).map(named_member).collect(),
         voter_count: plan.voters,
-        lease_duration: plan.lease,
+        lease_duration: plan.lease_duration,
         probe: ProbeSettings {
             per_s: 1.0,
             timeout: probe_timeout,
@@ -102,7 +102,7 @@
     pub fn new(plan: Plan) -> Result<Cluster, String> {
         let settings = ClusterSettings {
             duties: duty_settings(&plan)?,
-            initial_list: Arc::new(initial_list(plan.listed)?),
+            initial_list: Arc::new(initial_list(plan.listed_endpoints)?),
             seed: plan.seed,
         };
         let settings = Arc::new(settings);
@@ -114,7 +114,7 @@
             now: CLOCK_START,
             running: BTreeSet::new(),
             links: Links::default(),
-            discovery: Discovery::new(plan.listed),
+            discovery: Discovery::new(plan.listed_endpoints),
             discovery_inputs: BTreeMap::new(),
             answer_count: 0,
             change_times: ChangeTimes::new(plan.members)?,
--- a/lab/src/scale/links.rs
+++ b/lab/src/scale/links.rs
@@ -47,7 +47,7 @@
 impl Links {
     /// Links with the delay within a zone whatever the placement, as between daemons on one machine.
     #[must_use]
-    pub fn near() -> Links {
+    pub fn within_one_zone() -> Links {
         Links { near: true, ..Links::default() }
     }
 
--- a/lab/src/scale/listing.rs
+++ b/lab/src/scale/listing.rs
@@ -24,7 +24,7 @@
 ///
 /// # Errors
 /// The list cannot be parsed, an endpoint does not fit, or the resident memory cannot be read.
-pub fn hold(listed: u64) -> Result<ListMemory, String> {
+pub fn measure_list_memory(listed: u64) -> Result<ListMemory, String> {
     let resident = || resident_bytes().ok_or("no figure of resident memory");
     let (before, names, mut directory) = (resident()?, NameIndex::default(), directory());
     for first in (0..listed).step_by(ENTRIES_PER_PART as usize) {
--- a/lab/src/scale/meter.rs
+++ b/lab/src/scale/meter.rs
@@ -116,7 +116,7 @@
 
 /// Costs in seconds of processor time that a real daemon has and a hollow forwarder does not have.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Unpaid {
+pub struct UnsimulatedCost {
     /// Cost of the system calls of one datagram, sent or received.
     pub datagram_s: f64,
     /// Cost of one wake of a seldom woken daemon, with the runtime, its helper thread and a timer that is set
@@ -126,23 +126,23 @@
     pub busy_wake_s: f64,
 }
 
-impl Unpaid {
+impl UnsimulatedCost {
     /// Measures the costs on loopback sockets.
     ///
     /// # Errors
     /// The sockets cannot be created or used.
-    pub fn measure() -> Result<Unpaid, String> {
+    pub fn measure() -> Result<UnsimulatedCost, String> {
         let datagram_s = datagram_s()?;
         let wake_s = |round_s: f64| (round_s - DATAGRAMS_PER_ROUND * datagram_s).max(0.0);
         let idle_wake_s = wake_s(wake_round_cpu_s(IDLE_ROUNDS, IDLE_WAKES_PER_S)?);
         let busy_wake_s = wake_s(wake_round_cpu_s(BUSY_ROUNDS, BUSY_WAKES_PER_S)?).min(idle_wake_s);
-        Ok(Unpaid { datagram_s, idle_wake_s, busy_wake_s })
+        Ok(UnsimulatedCost { datagram_s, idle_wake_s, busy_wake_s })
     }
 
     /// Cost of the datagrams and wakes in a span of this many seconds. The first wakes of each second cost as
     /// much as those of a seldom woken daemon, the others as much as those of a busy one.
     #[must_use]
-    pub fn of(&self, usage: &Usage, seconds: f64) -> f64 {
+    pub fn cpu_s_for(&self, usage: &Usage, seconds: f64) -> f64 {
         let wakes = usage.wakes as f64;
         let idle = wakes.min(IDLE_WAKES_PER_S * seconds);
         let wake_cost_s = idle * self.idle_wake_s + (wakes - idle) * self.busy_wake_s;
--- a/lab/src/scale/play.rs
+++ b/lab/src/scale/play.rs
@@ -2,7 +2,7 @@
 
 use super::cluster::{Cluster, Plan};
 use super::links::{BETWEEN_REGIONS, WITHIN_REGION, WITHIN_ZONE};
-use super::meter::{Reading, Unpaid, Usage, resident_bytes};
+use super::meter::{Reading, UnsimulatedCost, Usage, resident_bytes};
 use super::placement::{Region, Zone};
 use crate::testbed::faults::FaultRecord;
 use onyxrock::interface::Micros;
@@ -34,16 +34,16 @@
 
 /// Durations of the parts of a run.
 #[derive(Clone, Copy, Debug)]
-pub struct Spans {
+pub struct ScenarioTimes {
     /// The longest time that a start may take until every forwarder sees all others and has a role in the
     /// list duty.
-    pub settle_most: Micros,
+    pub max_settle_time: Micros,
     /// The shortest time of a start: after a start, new information continues to be sent for a while.
-    pub settle_least: Micros,
+    pub min_settle_time: Micros,
     /// The time that is measured without faults.
-    pub steady: Micros,
+    pub steady_time: Micros,
     /// The time after each fault and after each return.
-    pub fault: Micros,
+    pub time_after_fault: Micros,
 }
 
 /// The results of one size.
@@ -101,7 +101,7 @@
 
 /// The delays of the links, for a report.
 #[must_use]
-pub fn links() -> Value {
+pub fn link_delays_json() -> Value {
     json!({"within_zone_ms": WITHIN_ZONE.0 / 1000, "within_region_ms": WITHIN_REGION.0 / 1000,
         "between_regions_ms": BETWEEN_REGIONS.0 / 1000})
 }
@@ -112,10 +112,11 @@
 
 /// Runs until every forwarder sees all others and has a role in the list duty. Returns the virtual time at
 /// which that was so.
-fn settle(cluster: &mut Cluster, spans: &Spans) -> Result<Option<f64>, String> {
+fn settle(cluster: &mut Cluster, spans: &ScenarioTimes) -> Result<Option<f64>, String> {
     let running_count = cluster.running().len();
     let mut settled = None;
-    while cluster.elapsed() < spans.settle_least || settled.is_none() && cluster.elapsed() < spans.settle_most
+    while cluster.elapsed() < spans.min_settle_time
+        || settled.is_none() && cluster.elapsed() < spans.max_settle_time
     {
         cluster.run(STATUS_INTERVAL)?;
         let readings = cluster.readings()?;
@@ -152,36 +153,36 @@
 }
 
 /// Goes through all faults one after the other.
-fn run_faults(cluster: &mut Cluster, spans: &Spans) -> Result<(), String> {
+fn run_faults(cluster: &mut Cluster, spans: &ScenarioTimes) -> Result<(), String> {
     let record_fault = |cluster: &mut Cluster, description: String| {
         let now = cluster.elapsed();
         cluster.links.record_fault(now, description);
     };
     run_change_burst(cluster)?;
-    cluster.run_with_changes(spans.fault, changes_per_s())?;
+    cluster.run_with_changes(spans.time_after_fault, changes_per_s())?;
     let zone_members = cluster.in_zone(LOST_ZONE);
     record_fault(cluster, format!("zone {} is lost, {} forwarders", LOST_ZONE.0, zone_members.len()));
     cluster.kill(&zone_members)?;
-    cluster.run_with_changes(spans.fault, changes_per_s())?;
+    cluster.run_with_changes(spans.time_after_fault, changes_per_s())?;
     record_fault(cluster, "the zone is back".to_owned());
     cluster.start(&zone_members)?;
-    cluster.run_with_changes(spans.fault, changes_per_s())?;
+    cluster.run_with_changes(spans.time_after_fault, changes_per_s())?;
     record_fault(cluster, format!("region {} is cut off", PARTITIONED_REGION.0));
     cluster.partition(PARTITIONED_REGION);
-    cluster.run_with_changes(spans.fault, changes_per_s())?;
+    cluster.run_with_changes(spans.time_after_fault, changes_per_s())?;
     // The cut-off forwarders must miss at least one change.
     cluster.add_endpoint();
     cluster.run(WITHIN_REGION)?;
     record_fault(cluster, "all regions are joined".to_owned());
     cluster.heal();
-    cluster.run_with_changes(spans.fault, changes_per_s())?;
+    cluster.run_with_changes(spans.time_after_fault, changes_per_s())?;
     let count = cluster.members().count().div_ceil(RESTARTED_DIVISOR);
     let restarted = cluster.choose_members(count);
     record_fault(cluster, format!("{count} forwarders restart at once"));
     cluster.kill(&restarted)?;
     cluster.run(RESTART_DOWNTIME)?;
     cluster.start(&restarted)?;
-    cluster.run_with_changes(spans.fault, changes_per_s())?;
+    cluster.run_with_changes(spans.time_after_fault, changes_per_s())?;
     cluster.run(FINAL_RUN)
 }
 
@@ -190,8 +191,9 @@
 ///
 /// # Errors
 /// The thread of a shard has exited, or the resident memory cannot be read.
-pub fn play(
-    plan: Plan, spans: &Spans, unpaid: &Unpaid, before_bytes: u64, prepare: impl FnOnce(&mut Cluster),
+pub fn run_scenario(
+    plan: Plan, spans: &ScenarioTimes, unpaid: &UnsimulatedCost, before_bytes: u64,
+    prepare: impl FnOnce(&mut Cluster),
 ) -> Result<Outcome, String> {
     let wall_start = Instant::now();
     let forwarders = plan.members;
@@ -201,10 +203,10 @@
     cluster.start(&members)?;
     let settled_s = settle(&mut cluster, spans)?;
     let usage_at_start = usage_by_member(&cluster)?;
-    cluster.run_with_changes(spans.steady, changes_per_s())?;
+    cluster.run_with_changes(spans.steady_time, changes_per_s())?;
     let usage_at_steady_end = usage_by_member(&cluster)?;
     let resident_total = resident_bytes().ok_or("no figure of resident memory")?;
-    let seconds = spans.steady.secs();
+    let seconds = spans.steady_time.secs();
     let mean_and_worst_per_s = |value_of: &dyn Fn(&Usage) -> f64| {
         let used = |m: &Member| value_of(&usage_at_steady_end[m].since(usage_at_start[m])) / seconds;
         mean_and_worst(usage_at_steady_end.keys().filter(|m| usage_at_start.contains_key(m)).map(used))
@@ -222,7 +224,7 @@
     let change_times = cluster.change_times();
     let slowest = change_times.slowest();
     let virtual_s = cluster.elapsed().secs();
-    let daemon_cpu_s = |seconds: f64| move |u: &Usage| u.cpu_s + unpaid.of(u, seconds);
+    let daemon_cpu_s = |seconds: f64| move |u: &Usage| u.cpu_s + unpaid.cpu_s_for(u, seconds);
     let (cpu, hollow_cpu) =
         (mean_and_worst_per_s(&daemon_cpu_s(seconds)), mean_and_worst_per_s(&|u| u.cpu_s));
     let (bytes, datagrams) =
--- a/lab/src/scale/room.rs
+++ b/lab/src/scale/room.rs
@@ -15,22 +15,22 @@
 
 /// Resources that an experiment needs.
 #[derive(Clone, Copy, Debug)]
-pub struct Needs {
+pub struct ResourceNeeds {
     /// Number of hollow forwarders in the largest cluster.
     pub forwarders: u16,
     /// Number of real daemons that run at the same time.
     pub daemons: usize,
     /// Number of entries of the longest list.
-    pub listed: u64,
+    pub listed_endpoints: u64,
 }
 
-impl Needs {
+impl ResourceNeeds {
     /// Memory that is needed, in bytes.
     #[must_use]
     pub fn bytes(&self) -> u64 {
         let forwarders = u64::from(self.forwarders);
         let hollow = forwarders * (BYTES_PER_FORWARDER + forwarders * BYTES_PER_MEMBER);
-        hollow + self.daemons as u64 * BYTES_PER_DAEMON + self.listed * BYTES_PER_ENTRY
+        hollow + self.daemons as u64 * BYTES_PER_DAEMON + self.listed_endpoints * BYTES_PER_ENTRY
     }
 }
 
@@ -38,7 +38,7 @@
 ///
 /// # Errors
 /// One line that names the resource that is exceeded.
-pub fn check_room(needs: &Needs, machine_bytes: u64) -> Result<(), String> {
+pub fn check_resources(needs: &ResourceNeeds, machine_bytes: u64) -> Result<(), String> {
     if needs.daemons > MAX_PROCESSES {
         return Err(format!("{} processes are needed, {MAX_PROCESSES} are allowed", needs.daemons));
     }
--- a/lab/src/soak/mod.rs
+++ b/lab/src/soak/mod.rs
@@ -17,4 +17,4 @@
 pub mod server;
 mod settings;
 
-pub use run::{Soak, play};
+pub use run::{SoakSize, run_soak};
--- a/lab/src/soak/run.rs
+++ b/lab/src/soak/run.rs
@@ -19,15 +19,15 @@
 
 /// The size of a run.
 #[derive(Clone, Copy, Debug)]
-pub struct Soak {
+pub struct SoakSize {
     pub daemons: usize,
     pub destinations: u64,
     /// Servers of each destination.
-    pub servers_each: usize,
+    pub servers_per_destination: usize,
     /// Messages a second that the clients of each daemon submit.
-    pub rate: f64,
+    pub messages_per_s: f64,
     /// Length of the load; the faults are begun in this time.
-    pub seconds: f64,
+    pub duration_s: f64,
     pub seed: u64,
 }
 
@@ -35,15 +35,15 @@
 pub struct Outcome {
     pub verdict: Verdict,
     /// Violations that the daemons counted themselves, by rule.
-    pub counted: BTreeMap<String, u64>,
+    pub violations_by_rule: BTreeMap<String, u64>,
     /// Lines of the daemons' logs that report a violation or a panic.
-    pub logged: Vec<String>,
+    pub logged_violations: Vec<String>,
     pub crashes: Vec<String>,
     /// Incomplete requests that were neither answered nor closed in time.
-    pub bad_unanswered: u64,
+    pub unanswered_partial_requests: u64,
     pub figures: Value,
     /// Kinds of planned faults that had no effect, or were not carried out at all.
-    pub not_met: Vec<&'static str>,
+    pub faults_without_hit: Vec<&'static str>,
 }
 
 /// Time from the end of the submissions to the judgement: the longest deadline of a message, and the time
@@ -84,13 +84,13 @@
 }
 
 /// Carries out one run with real daemons.
-pub async fn play(setup: &ExperimentContext, soak: Soak) -> Result<Outcome, String> {
+pub async fn run_soak(setup: &ExperimentContext, soak: SoakSize) -> Result<Outcome, String> {
     let run = Rc::new(Run::start(setup, &soak).await?);
     let lateness = Rc::new(Cell::new(0.0f64));
     run.runtime.spawn(monitor_lateness(run.runtime.clone(), lateness.clone()));
     let servers = run.servers.borrow().len();
     let plan =
-        generate_faults(RunSize { daemons: soak.daemons, servers, duration_s: soak.seconds }, soak.seed);
+        generate_faults(RunSize { daemons: soak.daemons, servers, duration_s: soak.duration_s }, soak.seed);
     let load_started_at = run.runtime.now();
     for planned in &plan {
         sleep(load_started_at + planned.start_s - run.runtime.now()).await;
@@ -98,7 +98,7 @@
         let (this, planned) = (run.clone(), *planned);
         run.runtime.spawn(async move { this.apply_fault(planned).await });
     }
-    sleep(load_started_at + soak.seconds - run.runtime.now()).await;
+    sleep(load_started_at + soak.duration_s - run.runtime.now()).await;
     run.nodes.iter().for_each(|node| node.clients.stopped.set(true));
     sleep(OUTCOME_WAIT_S).await;
     run.finish(&plan, lateness.get()).await
@@ -106,11 +106,11 @@
 
 impl Run {
     /// Starts all stand-ins and daemons, and waits until the daemons are ready.
-    async fn start(setup: &ExperimentContext, soak: &Soak) -> Result<Run, String> {
+    async fn start(setup: &ExperimentContext, soak: &SoakSize) -> Result<Run, String> {
         let (runtime, log) = (setup.runtime.clone(), ObservationLog::default());
         let mut servers = Vec::new();
         for destination in 1..=soak.destinations {
-            for index in 0..soak.servers_each {
+            for index in 0..soak.servers_per_destination {
                 servers.push(Server::start(&runtime, &log, &format!("s{destination}-{index}"), destination)?);
             }
         }
@@ -132,7 +132,7 @@
             daemon.operators_enabled = true;
             daemon.preload = Some(Preload::with_plan(setup.output_dir.join(&name).join("faults"))?);
             let seed = soak.seed.wrapping_mul(1000).wrapping_add(index as u64);
-            let clients = Clients::start(&runtime, &log, index, soak.destinations, soak.rate, seed);
+            let clients = Clients::start(&runtime, &log, index, soak.destinations, soak.messages_per_s, seed);
             let (daemon, discovery_address) = (RefCell::new(Some(daemon)), RefCell::new(address));
             nodes.push(Rc::new(Node {
                 daemon,
@@ -307,12 +307,12 @@
             });
             Outcome {
                 verdict,
-                counted,
-                logged,
+                violations_by_rule: counted,
+                logged_violations: logged,
                 crashes: self.crashes.take(),
-                bad_unanswered,
+                unanswered_partial_requests: bad_unanswered,
                 figures,
-                not_met,
+                faults_without_hit: not_met,
             }
         });
         Ok(outcome)
--- a/lab/tests/scale.rs
+++ b/lab/tests/scale.rs
@@ -5,33 +5,33 @@
 use onyxrock_lab::report::Claim;
 use onyxrock_lab::scale::cluster::{Cluster, Plan};
 use onyxrock_lab::scale::links::{BETWEEN_REGIONS, Links, Node, WITHIN_REGION, WITHIN_ZONE};
-use onyxrock_lab::scale::meter::Unpaid;
+use onyxrock_lab::scale::meter::UnsimulatedCost;
 use onyxrock_lab::scale::placement::Region;
-use onyxrock_lab::scale::play::{Outcome, Spans, play};
-use onyxrock_lab::scale::room::{MAX_PROCESSES, Needs, check_room};
+use onyxrock_lab::scale::play::{Outcome, ScenarioTimes, run_scenario};
+use onyxrock_lab::scale::room::{MAX_PROCESSES, ResourceNeeds, check_resources};
 
 const MAX_IN_FORCE_MS: f64 = 10_000.0;
 const MAX_BYTES_PER_S: f64 = 9_000.0;
 /// The processor costs that hollow forwarders do not have are left out: these tests do not judge processor
 /// time.
-const NO_COST: Unpaid = Unpaid { datagram_s: 0.0, idle_wake_s: 0.0, busy_wake_s: 0.0 };
+const NO_COST: UnsimulatedCost = UnsimulatedCost { datagram_s: 0.0, idle_wake_s: 0.0, busy_wake_s: 0.0 };
 
 fn seconds(count: u64) -> Micros {
     Micros(count * 1_000_000)
 }
 
 fn plan(members: u16, seed: u64, threads: usize) -> Plan {
-    Plan { members, voters: 3, lease: seconds(3), listed: 20, seed, threads }
+    Plan { members, voters: 3, lease_duration: seconds(3), listed_endpoints: 20, seed, threads }
 }
 
 fn run(plan: Plan, prepare: impl FnOnce(&mut Cluster)) -> Outcome {
-    let spans = Spans {
-        settle_most: seconds(40),
-        settle_least: seconds(30),
-        steady: seconds(10),
-        fault: seconds(12),
+    let spans = ScenarioTimes {
+        max_settle_time: seconds(40),
+        min_settle_time: seconds(30),
+        steady_time: seconds(10),
+        time_after_fault: seconds(12),
     };
-    play(plan, &spans, &NO_COST, 0, prepare).expect("the run succeeds")
+    run_scenario(plan, &spans, &NO_COST, 0, prepare).expect("the run succeeds")
 }
 
 fn in_force_claim(outcome: &Outcome) -> Claim {
@@ -124,12 +124,12 @@
 #[test]
 fn an_experiment_that_exceeds_the_machine_is_rejected_with_one_line() {
     const GB: u64 = 1_000_000_000;
-    let needs = Needs { forwarders: 1_000, daemons: 28, listed: 1_300_000 };
-    assert_eq!(check_room(&needs, 24 * GB), Ok(()));
-    let error = check_room(&needs, GB).expect_err("half a gigabyte is too little memory");
+    let needs = ResourceNeeds { forwarders: 1_000, daemons: 28, listed_endpoints: 1_300_000 };
+    assert_eq!(check_resources(&needs, 24 * GB), Ok(()));
+    let error = check_resources(&needs, GB).expect_err("half a gigabyte is too little memory");
     assert!(error.contains("1000 hollow forwarders need") && !error.contains('\n'), "{error}");
-    let too_many_daemons = Needs { daemons: MAX_PROCESSES + 1, ..needs };
+    let too_many_daemons = ResourceNeeds { daemons: MAX_PROCESSES + 1, ..needs };
     let error =
-        check_room(&too_many_daemons, 24 * GB).expect_err("the number of processes exceeds the limit");
+        check_resources(&too_many_daemons, 24 * GB).expect_err("the number of processes exceeds the limit");
     assert!(error.contains("processes") && !error.contains('\n'), "{error}");
 }
