--- a/lab/src/experiments/slopes/limits.rs
+++ b/lab/src/experiments/slopes/limits.rs
@@ -1,6 +1,6 @@
 //! Limits on the resources of the machine that an experiment may use.
 
-use crate::scale::meter::machine_bytes;
+use crate::scale::measurement::machine_bytes;
 
 /// Maximum number of processes of one experiment.
 const MAX_PROCESSES: usize = 300;
--- a/lab/src/scale/cluster.rs
+++ b/lab/src/scale/cluster.rs
@@ -5,7 +5,7 @@
 use super::discovery::{Answer, CallId, Discovery, FIRST_GENERATION, initial_entries, list_json};
 use super::forwarder::{ClusterSettings, Input, Outbound};
 use super::links::{Links, Node, WITHIN_ZONE};
-use super::meter::Reading;
+use super::measurement::Reading;
 use super::placement::{Region, Zone, zone_of};
 use super::shard::{Arrival, Command, Departure, Reply, ShardHandle};
 use onyxrock::core::NameIndex;
--- a/lab/src/scale/forwarder.rs
+++ b/lab/src/scale/forwarder.rs
@@ -3,7 +3,7 @@
 use super::change_times::Adoption;
 use super::discovery::{CallId, ListRequest, answer_bytes, endpoint_added_by};
 use super::follower::{Action, Follower};
-use super::meter::{Reading, Usage};
+use super::measurement::{Reading, Usage};
 use super::wire::{self, Audience};
 use async_channel::{Receiver, bounded};
 use onyxrock::core::{Ledger, LedgerAction, NameIndex, add_probe_class};
--- a/lab/src/scale/listing.rs
+++ b/lab/src/scale/list_memory.rs
@@ -2,7 +2,7 @@
 
 use super::discovery::{FIRST_GENERATION, initial_entries, list_json};
 use super::forwarder::{apply_list, directory};
-use super::meter::resident_bytes;
+use super::measurement::resident_bytes;
 use onyxrock::core::NameIndex;
 use onyxrock::interface::Micros;
 use onyxrock_config::list;
--- a/lab/src/scale/play.rs
+++ b/lab/src/scale/scenario.rs
@@ -2,7 +2,7 @@
 
 use super::cluster::{Cluster, Plan};
 use super::links::{BETWEEN_REGIONS, WITHIN_REGION, WITHIN_ZONE};
-use super::meter::{Reading, UnsimulatedCost, Usage, resident_bytes};
+use super::measurement::{Reading, UnsimulatedCost, Usage, resident_bytes};
 use super::placement::{Region, Zone};
 use crate::testbed::faults::FaultRecord;
 use onyxrock::interface::Micros;
--- a/lab/src/scale/shard.rs
+++ b/lab/src/scale/shard.rs
@@ -6,7 +6,7 @@
 use super::change_times::Adoption;
 use super::forwarder::{ClusterSettings, Forwarder, Input, Outbound, StepResults};
 use super::links::Node;
-use super::meter::{Reading, Usage, thread_cpu_s};
+use super::measurement::{Reading, Usage, thread_cpu_s};
 use async_channel::{Receiver, Sender, bounded};
 use onyxrock::interface::Micros;
 use onyxrock_duties::{Epoch, Member};
--- a/lab/tests/scale.rs
+++ b/lab/tests/scale.rs
@@ -5,10 +5,10 @@
 use onyxrock_lab::report::Claim;
 use onyxrock_lab::scale::cluster::{Cluster, Plan};
 use onyxrock_lab::scale::links::{BETWEEN_REGIONS, Links, Node, WITHIN_REGION, WITHIN_ZONE};
-use onyxrock_lab::scale::meter::UnsimulatedCost;
+use onyxrock_lab::scale::measurement::UnsimulatedCost;
 use onyxrock_lab::scale::placement::Region;
-use onyxrock_lab::scale::play::{Outcome, ScenarioTimes, run_scenario};
-use onyxrock_lab::scale::room::{MAX_PROCESSES, ResourceNeeds, check_resources};
+use onyxrock_lab::scale::resource_check::{MAX_PROCESSES, ResourceNeeds, check_resources};
+use onyxrock_lab::scale::scenario::{Outcome, ScenarioTimes, run_scenario};
 
 const MAX_IN_FORCE_MS: f64 = 10_000.0;
 const MAX_BYTES_PER_S: f64 = 9_000.0;
