--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The forwarder's command args.
+//! The forwarder's command line.
 
 use lexopt::prelude::*;
 use onyxrock_config::daemon::ReadError;
@@ -13,13 +13,13 @@
 const USAGE: &str = "\
 usage: onyxrock COMMAND [--config FILE] [--product FILE]
   serve     run a forwarder
-  check     read the configuration, say command it holds, and end
-  members   command a running instance sees of the others: --at ADDRESS [--json]
+  check     read the configuration, say what it holds, and end
+  members   what a running instance sees of the others: --at ADDRESS [--json]
   duties    which duties it wants and holds: --at ADDRESS [--json]
   status    who leads the fleet, and whether this one votes: --at ADDRESS [--json]
   version   print the version
-The configuration is command the platform states: --config FILE, or $GW_CONFIG. --product names a
-file of our own, which switches on command the platform does not use (see deploy/product.toml).";
+The configuration is what the platform states: --config FILE, or $GW_CONFIG. --product names a
+file of our own, which switches on what the platform does not use (see deploy/product.toml).";
 
 /// The parsed command line.
 struct Args {
